--- a/src/coordination/endpoint_candidate.h
+++ b/src/coordination/endpoint_candidate.h
@@ -5,10 +5,10 @@
 
 namespace tamaracktrail {
 
-//! An endpoint that may get a request now.
+//! An endpoint that may receive a request now.
 struct EndpointCandidate {
   std::string name;
-  double load = 0;    //!< Estimated requests in progress over the capacity.
+  double load = 0;    //!< Estimated requests in progress / capacity.
   bool local = true;  //!< In this instance's data centre.
 
   friend bool operator==(const EndpointCandidate&,
--- a/src/coordination/endpoint_choice.cpp
+++ b/src/coordination/endpoint_choice.cpp
@@ -43,19 +43,19 @@
   const double sum = std::accumulate(
       candidates.begin(), candidates.end(), 0.0,
       [](double n, const EndpointCandidate& it) { return n + it.load; });
-  const double bound =
+  const double max_load =
       load_bound * sum / static_cast<double>(candidates.size()) + load_slack;
   if (!prefix.empty()) {
-    std::vector<std::pair<uint64_t, size_t>> order;
+    std::vector<std::pair<uint64_t, size_t>> ranked;
     for (size_t i = 0; i < candidates.size(); ++i) {
-      order.emplace_back(RendezvousWeight(prefix, candidates[i].name), i);
+      ranked.emplace_back(RendezvousWeight(prefix, candidates[i].name), i);
     }
-    const size_t n = std::min<size_t>(ranks, order.size());
-    std::partial_sort(order.begin(), order.begin() + n, order.end(),
+    const size_t n = std::min<size_t>(top_candidates, ranked.size());
+    std::partial_sort(ranked.begin(), ranked.begin() + n, ranked.end(),
                       std::greater<>());
     for (size_t i = 0; i < n; ++i) {
-      if (candidates[order[i].second].load <= bound) {
-        return order[i].second;
+      if (candidates[ranked[i].second].load <= max_load) {
+        return ranked[i].second;
       }
     }
   }
--- a/src/coordination/endpoint_choice.h
+++ b/src/coordination/endpoint_choice.h
@@ -13,7 +13,7 @@
 
 using Random = std::mt19937_64;
 
-//! Picks one of several candidates for a request.
+//! A policy that picks one of several candidates for a request.
 //! Precondition of Pick: `candidates` is not empty.
 template <class C>
 concept EndpointChoice = requires(const C choice,
@@ -23,7 +23,7 @@
   { choice.Pick(candidates, prefix, random) } -> std::same_as<size_t>;
 };
 
-//! Baseline: any candidate. Thread-safe.
+//! Baseline: a random candidate. Thread-safe.
 struct RandomChoice {
   size_t Pick(std::span<const EndpointCandidate> candidates,
               const std::string& prefix,
@@ -37,13 +37,14 @@
               Random& random) const;
 };
 
-//! The product's choice: the endpoint that is likely to have the prompt's
-//! prefix in its cache while its load is within a bound, else the better of two
-//! random ones. Thread-safe.
+//! The policy in use: an endpoint that is likely to have the prompt's prefix
+//! cached if its load is within a bound, else the less loaded of two random
+//! ones. Thread-safe.
 struct AffinityChoice {
-  double load_bound = 1.25;  //!< Times the mean load.
+  double load_bound = 1.25;  //!< Multiple of the mean load.
   double load_slack = 0.15;  //!< Added to the bound.
-  int ranks = 2;             //!< Places in rendezvous order that count.
+  //! Number of candidates to consider, in rendezvous order.
+  int top_candidates = 2;
 
   size_t Pick(std::span<const EndpointCandidate> candidates,
               const std::string& prefix,
--- a/src/coordination/rendezvous.cpp
+++ b/src/coordination/rendezvous.cpp
@@ -37,32 +37,34 @@
 
 std::vector<uint64_t> RendezvousSpread(const std::vector<std::string>& keys,
                                        std::span<const uint64_t> candidates) {
-  std::vector<uint64_t> picks;
+  std::vector<uint64_t> assigned;
   if (candidates.empty()) {
-    return picks;
+    return assigned;
   }
-  const size_t most = (keys.size() + candidates.size() - 1) / candidates.size();
+  const size_t max_keys =
+      (keys.size() + candidates.size() - 1) / candidates.size();
   std::map<uint64_t, size_t> counts;
   for (const std::string& key : keys) {
-    std::vector<uint64_t> free;
-    std::copy_if(candidates.begin(), candidates.end(), std::back_inserter(free),
-                 [&](uint64_t it) { return counts[it] < most; });
-    picks.push_back(RendezvousPick(key, free));
-    ++counts[picks.back()];
+    std::vector<uint64_t> below_limit;
+    std::copy_if(candidates.begin(), candidates.end(),
+                 std::back_inserter(below_limit),
+                 [&](uint64_t it) { return counts[it] < max_keys; });
+    assigned.push_back(RendezvousPick(key, below_limit));
+    ++counts[assigned.back()];
   }
-  return picks;
+  return assigned;
 }
 
 bool RendezvousAmong(const std::string& key,
                      std::span<const uint64_t> candidates,
                      uint64_t self,
                      size_t n) {
-  const uint64_t own = RendezvousWeight(key, self);
-  const auto higher =
+  const uint64_t own_weight = RendezvousWeight(key, self);
+  const auto higher_count =
       std::count_if(candidates.begin(), candidates.end(), [&](uint64_t it) {
-        return it != self && RendezvousWeight(key, it) > own;
+        return it != self && RendezvousWeight(key, it) > own_weight;
       });
-  return static_cast<size_t>(higher) < n;
+  return static_cast<size_t>(higher_count) < n;
 }
 
 }  // namespace tamaracktrail
--- a/src/coordination/rendezvous.h
+++ b/src/coordination/rendezvous.h
@@ -8,23 +8,27 @@
 
 namespace tamaracktrail {
 
-//! Rendezvous weight of `candidate` for `key`; the highest wins. Thread-safe.
+//! Rendezvous (highest random weight) hash of `candidate` for `key`; the
+//! candidate with the highest weight is chosen. Thread-safe.
 uint64_t RendezvousWeight(const std::string& key, const std::string& candidate);
 uint64_t RendezvousWeight(const std::string& key, uint64_t candidate);
-//! The same for a key that is a hash already; for choices on each request.
+//! Computes the weight for a key that is already a hash, which is cheap enough
+//! for each request. Thread-safe.
 uint64_t RendezvousWeight(uint64_t key, uint64_t candidate);
 
-//! The candidate with the highest weight; 0 for no candidate. Thread-safe.
+//! Returns the candidate with the highest weight; 0 if there are no candidates.
+//! Thread-safe.
 uint64_t RendezvousPick(const std::string& key,
                         std::span<const uint64_t> candidates);
 
-//! A candidate for each key: the highest in rendezvous order that has fewer
-//! than its even part of the keys, rounded up. Empty for no candidate.
-//! Thread-safe.
+//! Returns a candidate for each key: the one with the highest weight among
+//! those that have fewer than keys / candidates keys, rounded up. Empty if
+//! there are no candidates. Thread-safe.
 std::vector<uint64_t> RendezvousSpread(const std::vector<std::string>& keys,
                                        std::span<const uint64_t> candidates);
 
-//! Whether `self` is among the `n` highest of `candidates`. Thread-safe.
+//! Whether `self` is among the `n` candidates with the highest weight.
+//! Thread-safe.
 bool RendezvousAmong(const std::string& key,
                      std::span<const uint64_t> candidates,
                      uint64_t self,
