--- a/src/coordination/endpoint_health.h
+++ b/src/coordination/endpoint_health.h
@@ -5,15 +5,15 @@
 
 namespace tamaracktrail {
 
-//! State of an endpoint as a probe saw it. Numbers are part of the wire format.
+//! Health of an endpoint, as probed. The values are part of the wire format.
 enum class EndpointHealth : int32_t {
   kUnknown = 0,
   kUp = 1,
-  kLeaving = 2,  //!< Ends what it has and wants nothing new.
+  kLeaving = 2,  //!< Finishes its requests, accepts no new ones.
   kDown = 3,
 };
 
-//! Name for logs and status.
+//! Returns the name for logs and status output.
 constexpr const char* EndpointHealthName(EndpointHealth health) {
   switch (health) {
     case EndpointHealth::kUp:
--- a/src/coordination/endpoint_observation.h
+++ b/src/coordination/endpoint_observation.h
@@ -10,14 +10,14 @@
 
 namespace tamaracktrail {
 
-//! State of an endpoint at a time that this instance's clock can vouch for.
+//! State of an endpoint, dated on this instance's own clock.
 struct EndpointObservation {
   std::string endpoint;
   EndpointHealth health = EndpointHealth::kUnknown;
-  int load = 0;         //!< Requests in progress, as the endpoint reports them.
+  int load = 0;         //!< Requests in progress, as reported by the endpoint.
   std::string boot_id;  //!< Changes when the endpoint restarts; may be empty.
   std::vector<std::string> loaded;  //!< Models, adapters and versions.
-  Millis as_of;  //!< The state was seen at this time or later.
+  Millis as_of;  //!< Lower bound of the time of the observation.
 
   friend bool operator==(const EndpointObservation&,
                          const EndpointObservation&) = default;
--- a/src/coordination/endpoint_spec.h
+++ b/src/coordination/endpoint_spec.h
@@ -11,7 +11,7 @@
   std::string address;  //!< "IP:port".
   std::string service;
   std::string data_centre;
-  int capacity = 1;             //!< Requests in progress at full speed.
+  int capacity = 1;             //!< Concurrent requests at full speed.
   bool checks_fencing = false;  //!< Refuses orders with an old fencing number.
 
   friend bool operator==(const EndpointSpec&, const EndpointSpec&) = default;
--- a/src/coordination/endpoint_table.cpp
+++ b/src/coordination/endpoint_table.cpp
@@ -10,8 +10,10 @@
 
 namespace {
 
-constexpr Millis kHistory{5000};
-constexpr int kMaxEjectShift = 4;
+//! How long finished requests are kept, to correct the reported load.
+constexpr Millis kFinishedRetention{5000};
+//! Limit of the doublings of the ejection time.
+constexpr int kMaxEjectDoublings = 4;
 
 }  // namespace
 
@@ -37,30 +39,33 @@
     return;
   }
   Entry& entry = it->second;
-  if (entry.last.has_value() && entry.last->as_of > observation.as_of) {
+  if (entry.last_observation.has_value() &&
+      entry.last_observation->as_of > observation.as_of) {
     return;
   }
   const bool up = observation.health == EndpointHealth::kUp;
-  const bool was_up =
-      entry.last.has_value() && entry.last->health == EndpointHealth::kUp;
-  const std::string boot_id = entry.last ? entry.last->boot_id : "";
-  const std::vector<std::string> loaded =
-      entry.last ? entry.last->loaded : std::vector<std::string>();
-  // The first sight of an endpoint is no return: it may have run for long.
-  if (up && !was_up && entry.last.has_value()) {
+  const bool was_up = entry.last_observation.has_value() &&
+                      entry.last_observation->health == EndpointHealth::kUp;
+  const std::string boot_id =
+      entry.last_observation ? entry.last_observation->boot_id : "";
+  const std::vector<std::string> loaded = entry.last_observation
+                                              ? entry.last_observation->loaded
+                                              : std::vector<std::string>();
+  // The first observation starts no ramp: the endpoint may have run for long.
+  if (up && !was_up && entry.last_observation.has_value()) {
     entry.up_since = observation.as_of;
   }
-  entry.last = observation;
+  entry.last_observation = observation;
   if (observation.boot_id.empty()) {
-    entry.last->boot_id = boot_id;
-    entry.last->loaded = loaded;
+    entry.last_observation->boot_id = boot_id;
+    entry.last_observation->loaded = loaded;
   }
 }
 
 void EndpointTable::OnDispatch(Millis now, const std::string& endpoint) {
   auto it = entries_.find(endpoint);
   if (it != entries_.end()) {
-    it->second.open.insert(now);
+    it->second.open_since.insert(now);
   }
 }
 
@@ -73,12 +78,13 @@
     return;
   }
   Entry& entry = it->second;
-  if (auto open = entry.open.find(since); open != entry.open.end()) {
-    entry.open.erase(open);
+  if (auto dispatched = entry.open_since.find(since);
+      dispatched != entry.open_since.end()) {
+    entry.open_since.erase(dispatched);
   }
-  entry.ended.push_back({since, now});
-  while (entry.ended.front().until + kHistory < now) {
-    entry.ended.pop_front();
+  entry.finished.push_back({since, now});
+  while (entry.finished.front().until + kFinishedRetention < now) {
+    entry.finished.pop_front();
   }
   if (finish == Finish::kOk) {
     entry.failures = 0;
@@ -89,8 +95,8 @@
       !MayEject(now, entry.spec.service)) {
     return;
   }
-  const int shift = std::min(entry.ejections, kMaxEjectShift);
-  entry.ejected_until = now + options_.eject_time * (int64_t{1} << shift);
+  const int doublings = std::min(entry.ejections, kMaxEjectDoublings);
+  entry.ejected_until = now + options_.eject_time * (int64_t{1} << doublings);
   ++entry.ejections;
   entry.failures = 0;
 }
@@ -110,7 +116,7 @@
 std::vector<EndpointCandidate> EndpointTable::Candidates(
     Millis now,
     const std::string& service,
-    bool with_full) const {
+    bool include_full) const {
   std::vector<EndpointCandidate> local;
   std::vector<EndpointCandidate> remote;
   for (const auto& [name, entry] : entries_) {
@@ -118,7 +124,7 @@
       continue;
     }
     const double load = Load(now, entry);
-    if (load >= options_.full_load && !with_full) {
+    if (load >= options_.full_load && !include_full) {
       continue;
     }
     const bool is_local = entry.spec.data_centre == data_centre_;
@@ -131,10 +137,10 @@
   double room = 0;
   for (const EndpointCandidate& it : Candidates(now, service)) {
     const Entry& entry = entries_.at(it.name);
-    const double free =
-        std::max(0.0, 1 - it.load) * entry.spec.capacity * RampOf(now, entry);
-    // Each dispatch of this instance stands for one of each sharer.
-    room += std::ceil(free / sharers_);
+    const double free = std::max(0.0, 1 - it.load) * entry.spec.capacity *
+                        SlowStartFactor(now, entry);
+    // Assumes that each instance sends as many requests as this one.
+    room += std::ceil(free / instance_count_);
   }
   return static_cast<int>(room);
 }
@@ -145,46 +151,49 @@
 }
 
 bool EndpointTable::Fresh(Millis now, const Entry& entry) const {
-  return entry.last.has_value() && entry.last->as_of >= not_before_ &&
-         entry.last->as_of + options_.stale_after > now;
+  return entry.last_observation.has_value() &&
+         entry.last_observation->as_of >= valid_from_ &&
+         entry.last_observation->as_of + options_.stale_after > now;
 }
 
 bool EndpointTable::Dispatchable(Millis now, const Entry& entry) const {
-  return Fresh(now, entry) && entry.last->health == EndpointHealth::kUp &&
+  return Fresh(now, entry) &&
+         entry.last_observation->health == EndpointHealth::kUp &&
          entry.ejected_until <= now;
 }
 
 double EndpointTable::Load(Millis now, const Entry& entry) const {
-  // What the endpoint reported lags. Requests sent since then are added, as if
-  // each other sender had as many open; of those that it counted, the ones
-  // known to have ended are taken off.
-  const Millis since = entry.last->as_of - options_.load_lag;
-  const auto sent =
-      std::distance(entry.open.lower_bound(since), entry.open.end());
-  const auto ended = std::count_if(
-      entry.ended.begin(), entry.ended.end(),
-      [&](const Span& it) { return it.since < since && it.until >= since; });
-  const int64_t estimate =
-      std::max<int64_t>(entry.last->load + sent * sharers_ - ended,
-                        static_cast<int64_t>(entry.open.size()));
+  // The reported load lags. Adds the requests sent since then, assuming that
+  // each instance has sent as many, and subtracts the ones that it counted and
+  // that are known to have finished.
+  const Millis since = entry.last_observation->as_of - options_.load_lag;
+  const auto sent = std::distance(entry.open_since.lower_bound(since),
+                                  entry.open_since.end());
+  const auto finished = std::count_if(
+      entry.finished.begin(), entry.finished.end(), [&](const RequestSpan& it) {
+        return it.since < since && it.until >= since;
+      });
+  const int64_t estimate = std::max<int64_t>(
+      entry.last_observation->load + sent * instance_count_ - finished,
+      static_cast<int64_t>(entry.open_since.size()));
   return static_cast<double>(estimate) /
-         (entry.spec.capacity * RampOf(now, entry));
+         (entry.spec.capacity * SlowStartFactor(now, entry));
 }
 
-double EndpointTable::RampOf(Millis now, const Entry& entry) const {
+double EndpointTable::SlowStartFactor(Millis now, const Entry& entry) const {
   if (!entry.up_since.has_value()) {
     return 1;
   }
   const Millis age = now - *entry.up_since;
-  const double ramp = static_cast<double>(age.count()) /
-                      static_cast<double>(options_.slow_start.count());
-  return std::clamp(ramp, options_.slow_start_floor, 1.0);
+  const double factor = static_cast<double>(age.count()) /
+                        static_cast<double>(options_.slow_start.count());
+  return std::clamp(factor, options_.slow_start_floor, 1.0);
 }
 
 std::vector<EndpointSpec> EndpointTable::ToProbe(
     Millis now,
-    const std::vector<std::string>& own) const {
-  std::set<std::string> served;  // By an endpoint of this data centre.
+    const std::vector<std::string>& assigned) const {
+  std::set<std::string> served;  // By a usable endpoint of this data centre.
   for (const auto& [name, entry] : entries_) {
     if (entry.spec.data_centre == data_centre_ && Dispatchable(now, entry)) {
       served.insert(entry.spec.service);
@@ -192,13 +201,15 @@
   }
   std::vector<EndpointSpec> out;
   for (const auto& [name, entry] : entries_) {
-    const bool mine = std::find(own.begin(), own.end(), name) != own.end();
+    const bool is_assigned =
+        std::find(assigned.begin(), assigned.end(), name) != assigned.end();
     const bool local = entry.spec.data_centre == data_centre_;
-    const bool aging = !entry.last.has_value() ||
-                       entry.last->as_of < not_before_ ||
-                       entry.last->as_of + options_.probe_before <= now;
-    const bool of_use = local || !served.contains(entry.spec.service);
-    if (mine || (aging && of_use)) {
+    const bool expires_soon =
+        !entry.last_observation.has_value() ||
+        entry.last_observation->as_of < valid_from_ ||
+        entry.last_observation->as_of + options_.probe_after <= now;
+    const bool is_needed = local || !served.contains(entry.spec.service);
+    if (is_assigned || (expires_soon && is_needed)) {
       out.push_back(entry.spec);
     }
   }
@@ -207,18 +218,18 @@
 
 std::vector<EndpointNews> EndpointTable::News(
     Millis now,
-    const std::vector<std::string>& own) const {
-  std::vector<EndpointNews> news;
-  for (const std::string& name : own) {
+    const std::vector<std::string>& assigned) const {
+  std::vector<EndpointNews> reports;
+  for (const std::string& name : assigned) {
     auto it = entries_.find(name);
     if (it == entries_.end() || !Fresh(now, it->second)) {
       continue;
     }
-    const EndpointObservation& last = *it->second.last;
-    news.push_back(
+    const EndpointObservation& last = *it->second.last_observation;
+    reports.push_back(
         {name, now - last.as_of, static_cast<int32_t>(last.health), last.load});
   }
-  return news;
+  return reports;
 }
 
 const EndpointSpec* EndpointTable::Find(const std::string& endpoint) const {
@@ -237,12 +248,13 @@
 std::optional<EndpointObservation> EndpointTable::Last(
     const std::string& endpoint) const {
   auto it = entries_.find(endpoint);
-  return it == entries_.end() ? std::nullopt : it->second.last;
+  return it == entries_.end() ? std::nullopt : it->second.last_observation;
 }
 
 int EndpointTable::InFlight(const std::string& endpoint) const {
   auto it = entries_.find(endpoint);
-  return it == entries_.end() ? 0 : static_cast<int>(it->second.open.size());
+  return it == entries_.end() ? 0
+                              : static_cast<int>(it->second.open_since.size());
 }
 
 }  // namespace tamaracktrail
--- a/src/coordination/endpoint_table.h
+++ b/src/coordination/endpoint_table.h
@@ -17,42 +17,49 @@
 
 namespace tamaracktrail {
 
-//! What this instance knows of the endpoints: health, estimated load, ejection
-//! of outliers and slow start.
+//! What this instance knows about the endpoints: health, estimated load,
+//! outlier ejection and slow start.
 //!
 //! An endpoint is a candidate only while an observation of it is fresh, so that
-//! one that leaves gets nothing new after `stale_after`, whatever messages are
-//! lost. Not thread-safe.
+//! one that is removed receives no requests after `stale_after`, even if
+//! messages are lost. Not thread-safe.
 class EndpointTable {
  public:
   struct Options {
-    Millis stale_after{1900};  //!< Age at which an observation is no use.
-    Millis probe_before{900};  //!< Age at which this instance probes itself.
-    Millis load_lag{500};      //!< Lag of the load that endpoints report.
-    double full_load = 1.5;    //!< Load above which an endpoint is left out;
-                               //!< above 1 a request waits at the endpoint.
-    Millis slow_start{10000};  //!< Ramp after an endpoint came up.
+    Millis stale_after{1900};  //!< Age at which an observation expires.
+    //! Age at which this instance renews an observation itself.
+    Millis probe_after{900};
+    Millis load_lag{500};  //!< Lag of the load that endpoints report.
+    //! Load from which an endpoint is not a candidate. Above 1 a request queues
+    //! at the endpoint.
+    double full_load = 1.5;
+    Millis slow_start{10000};  //!< Ramp after an endpoint became healthy.
     double slow_start_floor = 0.1;
     int eject_after = 3;       //!< Consecutive failures.
     Millis eject_time{5000};   //!< Doubles with each further ejection.
-    double max_ejected = 0.5;  //!< Part of a service's endpoints.
+    double max_ejected = 0.5;  //!< Fraction of a service's endpoints.
   };
 
   EndpointTable(std::string data_centre, Options options);
 
-  //! Replaces the declared endpoints; known state of those that stay is kept.
+  //! Replaces the declared endpoints. Keeps the state of those whose name and
+  //! address are unchanged.
   void SetSpecs(const std::vector<EndpointSpec>& specs);
 
+  //! Applies an observation, unless a newer one is known.
   void Observe(const EndpointObservation& observation);
 
-  //! After a pause of this process: nothing seen before `now` counts.
-  void ForgetBefore(Millis now) { not_before_ = now; }
+  //! Ignores observations from before `now`; called after this process was
+  //! paused.
+  void ForgetBefore(Millis now) { valid_from_ = now; }
 
-  //! Number of instances that send to the same endpoints, this one included.
-  //! They are taken to send like this one between two reports of the load.
-  void SetSharers(int sharers) { sharers_ = sharers; }
+  //! Sets the number of instances that send to the same endpoints, including
+  //! this one. Each is assumed to send as many requests as this one between two
+  //! load reports.
+  void SetSharers(int instance_count) { instance_count_ = instance_count; }
 
-  //! A request goes to the endpoint. Pair each call with one of OnFinish.
+  //! A request is sent to the endpoint. Precondition: each call is followed by
+  //! one of OnFinish.
   void OnDispatch(Millis now, const std::string& endpoint);
 
   enum class Finish { kOk, kFailed, kRefused };
@@ -62,28 +69,31 @@
                 Millis since,
                 Finish finish);
 
-  //! Endpoints of a service that may get a request now: this data centre's, and
-  //! others only where this one has none. Those at their capacity are left out
-  //! unless `with_full`.
+  //! Returns the endpoints of a service that may receive a request now: those
+  //! of this data centre, or of the others if this one has none. Omits those at
+  //! `full_load` unless `include_full`.
   std::vector<EndpointCandidate> Candidates(Millis now,
                                             const std::string& service,
-                                            bool with_full = false) const;
+                                            bool include_full = false) const;
 
-  //! Further requests that the endpoints can run at once.
+  //! Returns how many more requests the service's endpoints can run now.
   int Room(Millis now, const std::string& service) const;
 
-  //! Whether one endpoint may get a request now.
+  //! Whether an endpoint may receive a request now.
   bool Usable(Millis now, const std::string& endpoint) const;
 
-  //! Endpoints whose observation this instance should renew itself: its own
-  //! duty, what peers tell nothing fresh of, and another data centre's only
-  //! where this one has none for the service.
-  std::vector<EndpointSpec> ToProbe(Millis now,
-                                    const std::vector<std::string>& own) const;
+  //! Returns the endpoints that this instance should probe: those of its
+  //! assignment, and those without a recent observation from peers.
+  //! The latter include endpoints of other data centres only where this one has
+  //! no usable endpoint for the service.
+  std::vector<EndpointSpec> ToProbe(
+      Millis now,
+      const std::vector<std::string>& assigned) const;
 
-  //! This instance's own recent observations of `endpoints`, for heartbeats.
-  std::vector<EndpointNews> News(Millis now,
-                                 const std::vector<std::string>& own) const;
+  //! Returns the fresh observations of the assigned endpoints, for heartbeats.
+  std::vector<EndpointNews> News(
+      Millis now,
+      const std::vector<std::string>& assigned) const;
 
   const EndpointSpec* Find(const std::string& endpoint) const;
   std::vector<EndpointSpec> Specs() const;
@@ -91,32 +101,32 @@
   int InFlight(const std::string& endpoint) const;
 
  private:
-  struct Span {
+  struct RequestSpan {
     Millis since;
     Millis until;
   };
 
   struct Entry {
     EndpointSpec spec;
-    std::optional<EndpointObservation> last;
+    std::optional<EndpointObservation> last_observation;
     std::optional<Millis> up_since;
     int failures = 0;
     int ejections = 0;
     Millis ejected_until;
-    std::multiset<Millis> open;  //!< Dispatches that have not ended.
-    std::deque<Span> ended;      //!< Recent ones that have.
+    std::multiset<Millis> open_since;  //!< Start times of open requests.
+    std::deque<RequestSpan> finished;  //!< Recently finished requests.
   };
 
   bool Fresh(Millis now, const Entry& entry) const;
   bool Dispatchable(Millis now, const Entry& entry) const;
   double Load(Millis now, const Entry& entry) const;
-  double RampOf(Millis now, const Entry& entry) const;
+  double SlowStartFactor(Millis now, const Entry& entry) const;
   bool MayEject(Millis now, const std::string& service) const;
 
   std::string data_centre_;
   Options options_;
-  Millis not_before_;
-  int sharers_ = 1;
+  Millis valid_from_;
+  int instance_count_ = 1;
   std::map<std::string, Entry> entries_;
 };
 
--- a/src/coordination/retry_budget.h
+++ b/src/coordination/retry_budget.h
@@ -5,17 +5,17 @@
 
 namespace tamaracktrail {
 
-//! Limits retries to a part of the requests, so that retries cannot multiply
+//! Limits retries to a fraction of the requests, so that retries cannot amplify
 //! an overload. Not thread-safe.
 class RetryBudget {
  public:
-  //! `ratio` retries are earned by each request; at most `burst` are saved up.
+  //! Each request adds `ratio` retries; at most `burst` are accumulated.
   RetryBudget(double ratio, double burst)
       : ratio_(ratio), burst_(burst), tokens_(burst) {}
 
   void OnRequest() { tokens_ = std::min(burst_, tokens_ + ratio_); }
 
-  //! Changes how many are saved up at most.
+  //! Sets the limit of accumulated retries.
   void SetBurst(double burst) {
     burst_ = burst;
     tokens_ = std::min(tokens_, burst_);
@@ -24,7 +24,7 @@
   //! Whether `TakeRetry` would succeed.
   bool HasRetry() const { return tokens_ >= 1; }
 
-  //! Takes one retry if there is one.
+  //! Takes one retry; returns false if none is available.
   bool TakeRetry() {
     if (tokens_ < 1) {
       return false;
