--- a/src/coordination/content_guard.cpp
+++ b/src/coordination/content_guard.cpp
@@ -10,7 +10,8 @@
 
 namespace {
 
-constexpr size_t kMostCrashes = 2;
+//! Crashes after which a content is not run again.
+constexpr size_t kMaxCrashes = 2;
 
 }  // namespace
 
@@ -18,7 +19,7 @@
                          uint64_t attempt,
                          const std::string& content,
                          Outbox& outbox) {
-  pending_[attempt] = Pending{content, now + wait_, false};
+  pending_[attempt] = Pending{content, now + readback_timeout_, false};
   Decide(now, attempt, outbox);
 }
 
@@ -36,20 +37,21 @@
 }
 
 void ContentGuard::OnNotice(const Crash& crash) {
-  notices_[crash.content].insert(StableHash(crash.endpoint, crash.attempt));
+  reported_crashes_[crash.content].insert(
+      StableHash(crash.endpoint, crash.attempt));
 }
 
 void ContentGuard::OnEnd(uint64_t attempt,
                          const std::string& content,
-                         bool well,
+                         bool succeeded,
                          Outbox& outbox) {
   if (fold_->TrialOf(content) != attempt) {
     return;
   }
-  if (well) {
-    notices_.erase(content);
+  if (succeeded) {
+    reported_crashes_.erase(content);
   }
-  outbox.Append(Acquit{content, attempt, well});
+  outbox.Append(Acquit{content, attempt, succeeded});
 }
 
 void ContentGuard::OnTick(Millis now, Outbox& outbox) {
@@ -67,13 +69,13 @@
   const size_t crashes = CrashCount(pending.content);
   const std::optional<uint64_t> trial = fold_->TrialOf(pending.content);
   ResultCode code = ResultCode::kOk;
-  if (crashes >= kMostCrashes) {
+  if (crashes >= kMaxCrashes) {
     code = ResultCode::kPoisonRequest;
   } else if (crashes == 1 && trial.has_value() && *trial != attempt) {
     code = ResultCode::kContentOnTrial;
   } else if (crashes == 1 && trial != attempt) {
-    if (!pending.recorded) {
-      pending.recorded = true;
+    if (!pending.trial_appended) {
+      pending.trial_appended = true;
       outbox.Append(Trial{pending.content, attempt, self_});
     }
     if (now < pending.deadline) {
@@ -87,9 +89,9 @@
 
 size_t ContentGuard::CrashCount(const std::string& content) const {
   const size_t recorded = fold_->CrashCount(content);
-  auto it = notices_.find(content);
-  const size_t told = it == notices_.end() ? 0 : it->second.size();
-  return std::max(recorded, told);
+  auto it = reported_crashes_.find(content);
+  const size_t reported = it == reported_crashes_.end() ? 0 : it->second.size();
+  return std::max(recorded, reported);
 }
 
 std::vector<ContentVerdict> ContentGuard::TakeVerdicts() {
--- a/src/coordination/content_guard.h
+++ b/src/coordination/content_guard.h
@@ -15,60 +15,61 @@
 
 namespace tamaracktrail {
 
-//! Keeps content that crashes endpoints from costing more than two of them: one
-//! crash allows one trial, which is claimed on the log; two allow nothing. Not
-//! thread-safe.
+//! Keeps content from crashing more than two endpoints: after one crash, one
+//! trial is allowed, which is claimed on the log; after two, the content is not
+//! run again. Not thread-safe.
 class ContentGuard {
  public:
-  //! `wait` is the longest wait for a trial's read-back. Precondition: `fold`
-  //! outlives the guard.
-  ContentGuard(uint64_t self, Millis wait, const ControlFold* fold)
-      : self_(self), wait_(wait), fold_(fold) {}
+  //! `readback_timeout` is the time limit for reading an appended trial back
+  //! from the log. Precondition: `fold` outlives the guard.
+  ContentGuard(uint64_t self, Millis readback_timeout, const ControlFold* fold)
+      : self_(self), readback_timeout_(readback_timeout), fold_(fold) {}
 
-  //! Asks whether an attempt may run its content; answered by a verdict.
+  //! Requests a verdict on whether an attempt may run its content.
   void Check(Millis now,
              uint64_t attempt,
              const std::string& content,
              Outbox& outbox);
 
-  //! The attempt's endpoint was lost. Records it, tells `peers`, and asks
-  //! whether the attempt may be repeated.
+  //! The attempt's endpoint crashed. Records the crash, notifies `peers`, and
+  //! requests a verdict on whether the attempt may be repeated.
   void OnCrash(Millis now,
                uint64_t attempt,
                const Crash& crash,
                std::span<const uint64_t> peers,
                Outbox& outbox);
 
-  //! A peer tells of a crash before the log has it.
+  //! A peer reported a crash that may not be on the log yet.
   void OnNotice(const Crash& crash);
 
-  //! The attempt ended, `well` where its answer was delivered whole; ends its
-  //! trial, if it had one.
+  //! The attempt ended; `succeeded` if its complete answer was delivered. Ends
+  //! the attempt's trial, if it had one.
   void OnEnd(uint64_t attempt,
              const std::string& content,
-             bool well,
+             bool succeeded,
              Outbox& outbox);
 
-  //! Decides what waits for the log.
+  //! Decides the attempts that wait for a trial to be read back from the log.
   void OnTick(Millis now, Outbox& outbox);
 
+  //! Returns the verdicts since the last call.
   std::vector<ContentVerdict> TakeVerdicts();
 
  private:
   struct Pending {
     std::string content;
     Millis deadline;
-    bool recorded = false;  //!< The trial is on its way to the log.
+    bool trial_appended = false;  //!< The trial was handed over for appending.
   };
 
   void Decide(Millis now, uint64_t attempt, Outbox& outbox);
   size_t CrashCount(const std::string& content) const;
 
   uint64_t self_;
-  Millis wait_;
+  Millis readback_timeout_;
   const ControlFold* fold_;
-  std::map<uint64_t, Pending> pending_;                //!< By attempt.
-  std::map<std::string, std::set<uint64_t>> notices_;  //!< By content.
+  std::map<uint64_t, Pending> pending_;                         //!< By attempt.
+  std::map<std::string, std::set<uint64_t>> reported_crashes_;  //!< By content.
   std::vector<ContentVerdict> verdicts_;
 };
 
--- a/src/coordination/crash_guard.cpp
+++ b/src/coordination/crash_guard.cpp
@@ -6,67 +6,67 @@
 
 namespace {
 
-//! A crash breaks an endpoint's connections and refuses new ones within about
-//! this time of each other.
-constexpr Millis kSameCrash{600};
+//! A crashed endpoint loses its connections and refuses new ones within this
+//! time.
+constexpr Millis kCrashWindow{600};
 
-//! Endpoints that one content may crash: the platform's contract allows three.
-//! One less leaves room for crashes that other instances see at the same time.
-constexpr size_t kAllowedCrashes = 2;
+//! Endpoints that one content may crash. The platform's contract allows three;
+//! one less leaves room for crashes that other instances see at the same time.
+constexpr size_t kMaxCrashes = 2;
 
-//! Content comes again within minutes or not at all.
-constexpr Millis kRemembered{10 * 60 * 1000};
+//! Crashing content is sent again within minutes or not at all.
+constexpr Millis kContentRetention{10 * 60 * 1000};
 
-//! Contents that are remembered at most.
+//! Limit of contents that are remembered.
 constexpr size_t kMaxContents = 10000;
 
 }  // namespace
 
 void CrashGuard::OnBroken(Millis now, uint64_t content, uint64_t endpoint) {
-  std::vector<Broken>& broken = broken_[endpoint];
-  const bool others =
-      std::any_of(broken.begin(), broken.end(), [&](const Broken& it) {
-        return now - it.at <= kSameCrash && it.content != content;
+  std::vector<LostConnection>& lost = lost_connections_[endpoint];
+  const bool other_content_lost =
+      std::any_of(lost.begin(), lost.end(), [&](const LostConnection& it) {
+        return now - it.at <= kCrashWindow && it.content != content;
       });
-  broken.push_back({now, content});
-  const auto down = down_.find(endpoint);
-  if (others || (down != down_.end() && now - down->second <= kSameCrash)) {
+  lost.push_back({now, content});
+  const auto down = last_down_.find(endpoint);
+  if (other_content_lost ||
+      (down != last_down_.end() && now - down->second <= kCrashWindow)) {
     OnEndpointDown(now, endpoint);
   }
 }
 
 void CrashGuard::OnEndpointDown(Millis now, uint64_t endpoint) {
-  down_[endpoint] = now;
-  const auto it = broken_.find(endpoint);
-  if (it == broken_.end()) {
+  last_down_[endpoint] = now;
+  const auto it = lost_connections_.find(endpoint);
+  if (it == lost_connections_.end()) {
     return;
   }
-  for (const Broken& broken : it->second) {
-    if (now - broken.at <= kSameCrash) {
-      Count(now, {broken.content, endpoint});
+  for (const LostConnection& lost : it->second) {
+    if (now - lost.at <= kCrashWindow) {
+      AddCrash(now, {lost.content, endpoint});
     }
   }
-  broken_.erase(it);
+  lost_connections_.erase(it);
 }
 
 void CrashGuard::OnReported(Millis now, const Crash& crash) {
-  Count(now, crash);
+  AddCrash(now, crash);
 }
 
-void CrashGuard::Count(Millis now, const Crash& crash) {
+void CrashGuard::AddCrash(Millis now, const Crash& crash) {
   if (contents_.size() >= kMaxContents && !contents_.contains(crash.first)) {
     contents_.erase(contents_.begin());
   }
   Content& content = contents_[crash.first];
   if (content.endpoints.insert(crash.second).second) {
-    content.last = now;
+    content.last_crash = now;
   }
 }
 
 bool CrashGuard::IsBlocked(uint64_t content) const {
   const auto it = contents_.find(content);
-  return it != contents_.end() &&
-         it->second.endpoints.size() >= kAllowedCrashes;
+  return it != contents_.end() && it->second.endpoints.size() >= kMaxCrashes;
 }
 
 bool CrashGuard::IsSuspect(uint64_t content) const {
@@ -76,7 +76,7 @@
 std::vector<CrashGuard::Crash> CrashGuard::Known(size_t n) const {
   std::vector<std::pair<Millis, uint64_t>> newest;
   for (const auto& [content, it] : contents_) {
-    newest.emplace_back(it.last, content);
+    newest.emplace_back(it.last_crash, content);
   }
   std::sort(newest.rbegin(), newest.rend());
   std::vector<Crash> known;
@@ -93,12 +93,12 @@
 
 void CrashGuard::OnTick(Millis now) {
   std::erase_if(contents_, [&](const auto& it) {
-    return now - it.second.last > kRemembered;
+    return now - it.second.last_crash > kContentRetention;
   });
-  std::erase_if(down_,
-                [&](const auto& it) { return now - it.second > kSameCrash; });
-  std::erase_if(broken_, [&](const auto& it) {
-    return now - it.second.back().at > kSameCrash;
+  std::erase_if(last_down_,
+                [&](const auto& it) { return now - it.second > kCrashWindow; });
+  std::erase_if(lost_connections_, [&](const auto& it) {
+    return now - it.second.back().at > kCrashWindow;
   });
 }
 
--- a/src/coordination/crash_guard.h
+++ b/src/coordination/crash_guard.h
@@ -12,50 +12,54 @@
 
 namespace tamaracktrail {
 
-//! Recognizes requests that crash the endpoints that run them, by content.
+//! Detects requests that crash the endpoints that run them, by content.
 //!
-//! A lost connection alone tells little: answers are lost for many reasons. It
-//! counts as a crash where the endpoint itself is seen to be down at about the
-//! same time. Not thread-safe.
+//! A lost connection alone is not evidence of a crash: answers are lost for
+//! many reasons. It counts as a crash if the endpoint is found to be down
+//! within 600 ms, or if connections of requests with other content break in
+//! that time. Not thread-safe.
 class CrashGuard {
  public:
   //! A crash: hash of the content and hash of the endpoint's incarnation.
   using Crash = std::pair<uint64_t, uint64_t>;
 
-  //! The connection of a request broke while an endpoint had it.
+  //! The connection of a request broke after it was sent to an endpoint.
   void OnBroken(Millis now, uint64_t content, uint64_t endpoint);
 
-  //! The endpoint refuses connections, or an idle connection to it broke.
+  //! A connection attempt to the endpoint failed, or an idle connection to it
+  //! broke.
   void OnEndpointDown(Millis now, uint64_t endpoint);
 
-  //! A peer knows of a crash.
+  //! A peer reported a crash.
   void OnReported(Millis now, const Crash& crash);
 
-  //! Whether the content must not be sent any more.
+  //! Whether the content must not be sent again.
   bool IsBlocked(uint64_t content) const;
-  //! Whether it has crashed an endpoint at all.
+  //! Whether the content has crashed at least one endpoint.
   bool IsSuspect(uint64_t content) const;
 
-  //! Crashes known here, for the peers; at most `n`, newest first.
+  //! Returns the known crashes, for the peers: at most `n`, newest content
+  //! first.
   std::vector<Crash> Known(size_t n) const;
 
-  //! Forgets what is old.
+  //! Drops expired state.
   void OnTick(Millis now);
 
  private:
-  struct Broken {
+  struct LostConnection {
     Millis at;
     uint64_t content = 0;
   };
   struct Content {
     std::set<uint64_t> endpoints;
-    Millis last;
+    Millis last_crash;
   };
 
-  void Count(Millis now, const Crash& crash);
+  void AddCrash(Millis now, const Crash& crash);
 
-  std::map<uint64_t, std::vector<Broken>> broken_;  //!< By endpoint.
-  std::map<uint64_t, Millis> down_;                 //!< By endpoint.
+  std::map<uint64_t, std::vector<LostConnection>>
+      lost_connections_;                  //!< By endpoint.
+  std::map<uint64_t, Millis> last_down_;  //!< By endpoint.
   std::map<uint64_t, Content> contents_;
 };
 
--- a/src/coordination/link_congestion.cpp
+++ b/src/coordination/link_congestion.cpp
@@ -4,35 +4,39 @@
 
 namespace {
 
-//! Timeouts below this rate, or below this part of all attempts, come from
-//! endpoints that fell silent.
-constexpr double kLeastLatePerSecond = 10;
-constexpr double kLeastLatePart = 0.5;
+//! Unconnected attempts below this rate, or below this fraction of all
+//! attempts, are attributed to unresponsive endpoints.
+constexpr double kMinUnconnectedPerSecond = 10;
+constexpr double kMinUnconnectedRatio = 0.5;
 
-//! Hysteresis: below this rate the link is no longer congested.
-constexpr double kFewLatePerSecond = 1;
+//! Hysteresis: below this rate of unconnected attempts the link is no longer
+//! congested.
+constexpr double kClearUnconnectedPerSecond = 1;
 
-//! The balancer needs two misses, a second apart, to send callers elsewhere.
-constexpr Millis kLeastStay{3000};
+//! Minimum duration of the state. The load balancer needs two failed checks,
+//! one second apart, to send callers to other instances.
+constexpr Millis kMinActiveTime{3000};
 
 }  // namespace
 
 void LinkCongestion::OnAttempt(Millis now, bool unconnected) {
-  all_.Add(now, 1);
+  attempts_.Add(now, 1);
   if (unconnected) {
-    late_.Add(now, 1);
+    unconnected_.Add(now, 1);
   }
 }
 
 void LinkCongestion::OnTick(Millis now) {
-  const double late = late_.PerSecond(now);
+  const double unconnected_per_second = unconnected_.PerSecond(now);
   if (active_) {
-    active_ = now - since_ < kLeastStay || late >= kFewLatePerSecond;
+    active_ = now - active_since_ < kMinActiveTime ||
+              unconnected_per_second >= kClearUnconnectedPerSecond;
     return;
   }
-  active_ = late >= kLeastLatePerSecond &&
-            late >= kLeastLatePart * all_.PerSecond(now);
-  since_ = now;
+  active_ =
+      unconnected_per_second >= kMinUnconnectedPerSecond &&
+      unconnected_per_second >= kMinUnconnectedRatio * attempts_.PerSecond(now);
+  active_since_ = now;
 }
 
 }  // namespace tamaracktrail
--- a/src/coordination/link_congestion.h
+++ b/src/coordination/link_congestion.h
@@ -6,31 +6,33 @@
 
 namespace tamaracktrail {
 
-//! Tells whether the link of this instance is so congested that callers had
-//! better reach another one: most attempts end while they connect, whatever the
-//! endpoint.
+//! Detects that the link of this instance is so congested that callers should
+//! be sent to other instances: most attempts end before they are connected,
+//! regardless of the endpoint.
 //!
-//! Load pattern: a few callers press on one instance behind a narrow link while
-//! its neighbours are idle. Requests, answers and all that the log says wait in
-//! the same queue. Not thread-safe.
+//! This happens when a few callers overload one instance behind a narrow link
+//! while the other instances are idle. Requests, answers and reads of the log
+//! then wait in the same queue. Not thread-safe.
 class LinkCongestion {
  public:
-  //! An attempt at an endpoint ended; `unconnected`: it did not get as far as
-  //! to connect.
+  //! An attempt at an endpoint ended. `unconnected`: it ended before it was
+  //! connected.
   void OnAttempt(Millis now, bool unconnected);
 
-  //! Called at least each second. Precondition: `now` does not run backwards.
+  //! Updates `active`; called at least once per second. Precondition: `now`
+  //! does not run backwards.
   void OnTick(Millis now);
 
-  //! Lasts until few attempts time out, and for some seconds at least.
+  //! Whether the link is congested. Stays true for at least 3 s, and until
+  //! fewer than one attempt per second ends unconnected.
   bool active() const { return active_; }
 
  private:
-  static constexpr Millis kMemory{1000};
+  static constexpr Millis kTimeConstant{1000};
 
-  RateMeter late_{kMemory};
-  RateMeter all_{kMemory};
-  Millis since_;  //!< Since when it is active.
+  RateMeter unconnected_{kTimeConstant};
+  RateMeter attempts_{kTimeConstant};
+  Millis active_since_;  //!< When `active_` became true.
   bool active_ = false;
 };
 
--- a/tests/coordination/crash_guard_test.cpp
+++ b/tests/coordination/crash_guard_test.cpp
@@ -10,14 +10,14 @@
 constexpr uint64_t kFirst = 10;
 constexpr uint64_t kSecond = 11;
 
-TEST(CrashGuardTest, ALostAnswerAloneIsNoCrash) {
+TEST(CrashGuardTest, LostConnectionAloneIsNoCrash) {
   CrashGuard guard;
   guard.OnBroken(kNow, kContent, kFirst);
   guard.OnBroken(kNow + Millis(5000), kContent, kSecond);
   EXPECT_FALSE(guard.IsSuspect(kContent));
 }
 
-TEST(CrashGuardTest, ARefusedConnectionSoonAfterMakesItACrash) {
+TEST(CrashGuardTest, EndpointDownWithinTheCrashWindowIsACrash) {
   CrashGuard guard;
   guard.OnBroken(kNow, kContent, kFirst);
   guard.OnEndpointDown(kNow + Millis(100), kFirst);
@@ -28,14 +28,14 @@
   EXPECT_TRUE(guard.IsBlocked(kContent));
 }
 
-TEST(CrashGuardTest, ALaterOutageIsNotThisRequestsCrash) {
+TEST(CrashGuardTest, EndpointDownAfterTheCrashWindowIsNoCrash) {
   CrashGuard guard;
   guard.OnBroken(kNow, kContent, kFirst);
   guard.OnEndpointDown(kNow + Millis(5000), kFirst);
   EXPECT_FALSE(guard.IsSuspect(kContent));
 }
 
-TEST(CrashGuardTest, TwoConnectionsThatBreakTogetherAreACrash) {
+TEST(CrashGuardTest, ConnectionsOfTwoContentsLostTogetherAreACrash) {
   CrashGuard guard;
   guard.OnBroken(kNow, kContent, kFirst);
   guard.OnBroken(kNow + Millis(20), 2, kFirst);
@@ -43,7 +43,7 @@
   EXPECT_TRUE(guard.IsSuspect(2));
 }
 
-TEST(CrashGuardTest, PeersCrashesCountOnceForEachEndpoint) {
+TEST(CrashGuardTest, CrashReportedTwiceForAnEndpointCountsOnce) {
   CrashGuard guard;
   guard.OnReported(kNow, {kContent, kFirst});
   guard.OnReported(kNow, {kContent, kFirst});
--- a/tests/coordination/link_congestion_test.cpp
+++ b/tests/coordination/link_congestion_test.cpp
@@ -5,56 +5,57 @@
 namespace tamaracktrail {
 namespace {
 
-//! Plays `seconds` of an attempt each `gap`, of which a part times out.
-Millis Play(LinkCongestion* congestion,
-            Millis now,
-            int seconds,
-            Millis gap,
-            double late_part) {
-  double owed = 0;
+//! Simulates `seconds` with an attempt every `gap`, of which the fraction
+//! `unconnected_ratio` ends unconnected. Returns the time of the end.
+Millis Simulate(LinkCongestion* congestion,
+                Millis now,
+                int seconds,
+                Millis gap,
+                double unconnected_ratio) {
+  double pending = 0;
   for (const Millis end = now + Millis(seconds * 1000); now < end;
        now = now + gap) {
-    owed += late_part;
-    const bool late = owed >= 1;
-    owed -= late ? 1 : 0;
-    congestion->OnAttempt(now, late);
+    pending += unconnected_ratio;
+    const bool unconnected = pending >= 1;
+    pending -= unconnected ? 1 : 0;
+    congestion->OnAttempt(now, unconnected);
     congestion->OnTick(now);
   }
   return now;
 }
 
-// As seen of an instance with a fifth of all requests of 73 instances, behind
-// 10 Mbit/s: 400 attempts a second, of which 290 took too long to connect.
-TEST(LinkCongestionTest, CallersWhoPressOnANarrowLinkAreMoved) {
+// Seen at one of 73 instances, which received a fifth of all requests over a
+// link of 10 Mbit/s: 290 of 400 attempts per second took too long to connect.
+TEST(LinkCongestionTest, MostAttemptsUnconnectedSetsCongestionUntilTheyStop) {
   LinkCongestion congestion;
-  Millis now = Play(&congestion, Millis(1000), 5, Millis(5), 0);
+  Millis now = Simulate(&congestion, Millis(1000), 5, Millis(5), 0);
   EXPECT_FALSE(congestion.active());
-  now = Play(&congestion, now, 2, Millis(2), 0.7);
+  now = Simulate(&congestion, now, 2, Millis(2), 0.7);
   EXPECT_TRUE(congestion.active());
-  // The last of them are still served; then nobody comes.
+  // It stays set while the last requests are served, and ends without requests.
   congestion.OnTick(now + Millis(1000));
   EXPECT_TRUE(congestion.active());
   congestion.OnTick(now + Millis(7000));
   EXPECT_FALSE(congestion.active());
 }
 
-TEST(LinkCongestionTest, MovesCallersForAsLongAsTheBalancerNeedsToNotice) {
+TEST(LinkCongestionTest, CongestionStaysSetUntilTheLoadBalancerHasNoticed) {
   LinkCongestion congestion;
-  const Millis now = Play(&congestion, Millis(1000), 1, Millis(2), 0.7);
+  const Millis now = Simulate(&congestion, Millis(1000), 1, Millis(2), 0.7);
   ASSERT_TRUE(congestion.active());
-  Play(&congestion, now, 1, Millis(5), 0);
+  Simulate(&congestion, now, 1, Millis(5), 0);
   EXPECT_TRUE(congestion.active());
 }
 
-TEST(LinkCongestionTest, AQuarterOfTheEndpointsFallingSilentMovesNobody) {
+TEST(LinkCongestionTest, AQuarterOfTheEndpointsUnresponsiveIsNoCongestion) {
   LinkCongestion congestion;
-  Play(&congestion, Millis(1000), 5, Millis(5), 0.25);
+  Simulate(&congestion, Millis(1000), 5, Millis(5), 0.25);
   EXPECT_FALSE(congestion.active());
 }
 
-TEST(LinkCongestionTest, RareRequestsMoveNobody) {
+TEST(LinkCongestionTest, FewUnconnectedAttemptsPerSecondAreNoCongestion) {
   LinkCongestion congestion;
-  Play(&congestion, Millis(1000), 10, Millis(200), 1);
+  Simulate(&congestion, Millis(1000), 10, Millis(200), 1);
   EXPECT_FALSE(congestion.active());
 }
 
