--- a/src/coordination/attempt_outcome.h
+++ b/src/coordination/attempt_outcome.h
@@ -5,13 +5,13 @@
 
 //! How one attempt of a request at an endpoint ended.
 enum class AttemptOutcome {
-  kAnswered,     //!< The whole answer arrived.
-  kNotSent,      //!< No connection: no byte of the request left.
-  kRefused,      //!< The endpoint says that it did not run the request.
+  kAnswered,     //!< The complete answer arrived.
+  kNotSent,      //!< No connection: no byte of the request was sent.
+  kRefused,      //!< The endpoint reports that it did not run the request.
   kMisdirected,  //!< Another endpoint has the address; it did not run it.
-  kFailed,       //!< The endpoint's own error answer; the request ran.
-  kBroken,       //!< Broke off, or broke the protocol; it may have run.
-  kSilent,       //!< No sign of an answer in the time that was allowed.
+  kFailed,       //!< The endpoint answered with an error; the request ran.
+  kBroken,       //!< Connection lost or protocol violated; it may have run.
+  kSilent,       //!< No answer began within the timeout; it may have run.
 };
 
 }  // namespace tamaracktrail
--- a/src/coordination/attempt_rules.cpp
+++ b/src/coordination/attempt_rules.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-//! With less time than this a further attempt cannot end well, and an endpoint
-//! would work for a caller that leaves.
-constexpr Millis kLeastTime{30};
+//! With less time than this another attempt cannot succeed, and an endpoint
+//! would work for a caller that disconnects.
+constexpr Millis kMinAttemptTime{30};
 
-//! Connections that are tried for one request. Those that reach nobody cost
-//! only time, which `remaining` bounds too.
-constexpr int kMaxDials = 6;
+//! Limit of connection attempts for one request. Those that reach no endpoint
+//! cost only time, which `remaining` limits as well.
+constexpr int kMaxConnectionAttempts = 6;
 
-bool SurelyNotRun(AttemptOutcome outcome) {
+bool CertainlyNotRun(AttemptOutcome outcome) {
   return outcome == AttemptOutcome::kNotSent ||
          outcome == AttemptOutcome::kRefused ||
          outcome == AttemptOutcome::kMisdirected;
@@ -25,19 +25,21 @@
          (progress.kind == CallKind::kStream && progress.resumable);
 }
 
-bool MaySendAgain(const RequestProgress& progress, AttemptOutcome outcome) {
-  const bool harmless = SurelyNotRun(outcome) && !progress.may_have_run;
-  if (!harmless && !IsRepeatable(progress)) {
+bool MayRetry(const RequestProgress& progress, AttemptOutcome outcome) {
+  const bool not_run = CertainlyNotRun(outcome) && !progress.may_have_run;
+  if (!not_run && !IsRepeatable(progress)) {
     return false;
   }
-  if (!harmless && progress.crashes_endpoints) {
+  if (!not_run && progress.crashes_endpoints) {
     return false;
   }
-  // An attempt that reached nobody adds no arrival anywhere.
-  const bool free = progress.sends == 0;
-  return progress.endpoint_left && progress.remaining >= kLeastTime &&
-         progress.dials < kMaxDials && progress.sends < progress.max_attempts &&
-         (free || progress.retry_allowed);
+  // A request that has reached no endpoint adds no load to the service, so
+  // sending it needs no retry budget.
+  const bool is_unsent = progress.sends == 0;
+  return progress.endpoint_left && progress.remaining >= kMinAttemptTime &&
+         progress.dials < kMaxConnectionAttempts &&
+         progress.sends < progress.max_attempts &&
+         (is_unsent || progress.retry_allowed);
 }
 
 }  // namespace
@@ -52,17 +54,17 @@
     return NextStep::kDeliver;
   }
   if (progress.head_sent) {
-    const bool resumes = progress.kind == CallKind::kStream &&
-                         progress.resumable && MaySendAgain(progress, outcome);
-    return resumes ? NextStep::kResume : NextStep::kBreakOff;
+    const bool may_resume = progress.kind == CallKind::kStream &&
+                            progress.resumable && MayRetry(progress, outcome);
+    return may_resume ? NextStep::kResume : NextStep::kBreakOff;
   }
-  if (MaySendAgain(progress, outcome)) {
+  if (MayRetry(progress, outcome)) {
     return NextStep::kTryAnother;
   }
   if (outcome == AttemptOutcome::kFailed) {
     return NextStep::kDeliver;
   }
-  if (!progress.may_have_run && SurelyNotRun(outcome)) {
+  if (!progress.may_have_run && CertainlyNotRun(outcome)) {
     return NextStep::kRefuse;
   }
   return outcome == AttemptOutcome::kSilent ? NextStep::kTimeOut
--- a/src/coordination/attempt_rules.h
+++ b/src/coordination/attempt_rules.h
@@ -6,14 +6,14 @@
 
 namespace tamaracktrail {
 
-//! Decides what follows an attempt. At most once: only a request that surely
-//! has not run, or that does no harm when it runs again, is sent again; "not
-//! run" is told only where no attempt may have run. Thread-safe.
+//! Decides the next step after an attempt. Ensures at-most-once execution: a
+//! request is sent again only if it has certainly not run or is repeatable, and
+//! "not run" is reported only if no attempt may have run. Thread-safe.
 NextStep StepAfterAttempt(const RequestProgress& progress,
                           AttemptOutcome outcome);
 
-//! Decides what follows when the time of the request is up while an attempt is
-//! open, or while it waits (`attempt_open` false). Thread-safe.
+//! Decides the next step when the request times out while an attempt is open,
+//! or while the request waits (`attempt_open` false). Thread-safe.
 NextStep StepAtTimeout(const RequestProgress& progress, bool attempt_open);
 
 }  // namespace tamaracktrail
--- a/src/coordination/request_progress.h
+++ b/src/coordination/request_progress.h
@@ -6,33 +6,33 @@
 
 namespace tamaracktrail {
 
-//! Where a request stands when one of its attempts has ended.
+//! State of a request after one of its attempts has ended.
 struct RequestProgress {
   CallKind kind = CallKind::kUnsafe;
-  bool resumable = false;     //!< Of a stream.
-  int max_attempts = 1;       //!< Endpoints that the request may reach.
-  int sends = 0;              //!< Endpoints that it has reached or may have.
-  int dials = 0;              //!< Attempts, those included that reached nobody.
-  bool may_have_run = false;  //!< After any of its attempts.
-  bool head_sent = false;     //!< The caller has the head of an answer.
-  bool event_sent = false;    //!< The caller has an event of the stream.
+  bool resumable = false;  //!< Whether a stream can be resumed.
+  int max_attempts = 1;    //!< Limit of endpoints that may receive the request.
+  int sends = 0;           //!< Endpoints that have or may have received it.
+  int dials = 0;  //!< Attempts, including those that reached no endpoint.
+  bool may_have_run = false;  //!< In any of its attempts.
+  bool head_sent = false;     //!< The caller was sent the head of an answer.
+  bool event_sent = false;    //!< The caller was sent an event of the stream.
   bool caller_gone = false;
   bool retry_allowed = false;      //!< By the fleet's retry budget.
   bool crashes_endpoints = false;  //!< Content that has crashed endpoints.
-  bool endpoint_left = false;      //!< Another usable endpoint remains untried.
-  Millis remaining;                //!< Until the caller or the route gives up.
+  bool endpoint_left = false;  //!< There is a usable endpoint not tried yet.
+  Millis remaining;            //!< Until the caller's or the route's deadline.
 };
 
-//! What to do next.
+//! What to do after an attempt or a timeout.
 enum class NextStep {
   kTryAnother,  //!< Send the request to another endpoint from its start.
-  kResume,      //!< Go on with the stream at another endpoint.
-  kDeliver,     //!< Pass the endpoint's answer on.
-  kRefuse,      //!< 503: not run, and it never will be.
+  kResume,      //!< Continue the stream at another endpoint.
+  kDeliver,     //!< Forward the endpoint's answer.
+  kRefuse,      //!< 503: the request has not run and will not run.
   kBadGateway,  //!< 502: it may have run.
   kTimeOut,     //!< 504: it may have run.
-  kBreakOff,    //!< End the connection so that the answer looks cut.
-  kDrop,        //!< The caller has left; nothing is to be sent.
+  kBreakOff,    //!< Close the connection, so that the answer is seen as cut.
+  kDrop,        //!< The caller has disconnected; send nothing.
 };
 
 }  // namespace tamaracktrail
--- a/tests/coordination/attempt_rules_test.cpp
+++ b/tests/coordination/attempt_rules_test.cpp
@@ -29,7 +29,7 @@
   return progress;
 }
 
-TEST(AttemptRulesTest, ARequestThatSurelyHasNotRunGoesToAnother) {
+TEST(AttemptRulesTest, RequestThatHasNotRunIsSentToAnotherEndpoint) {
   for (const CallKind kind :
        {CallKind::kSafe, CallKind::kUnsafe, CallKind::kStream}) {
     for (const AttemptOutcome outcome :
@@ -40,7 +40,7 @@
   }
 }
 
-TEST(AttemptRulesTest, ARequestThatMayHaveRunIsNotSentAgainUnlessHarmless) {
+TEST(AttemptRulesTest, RequestThatMayHaveRunIsSentAgainOnlyIfRepeatable) {
   for (const AttemptOutcome outcome :
        {AttemptOutcome::kBroken, AttemptOutcome::kSilent}) {
     EXPECT_NE(StepAfterAttempt(Ran(Start(CallKind::kUnsafe)), outcome),
@@ -54,8 +54,8 @@
   }
 }
 
-// "Not run" must stay true over all attempts, not only the last one.
-TEST(AttemptRulesTest, NotRunIsNeverToldAfterAnAttemptThatMayHaveRun) {
+// "Not run" must be true of all attempts of the request, not only the last one.
+TEST(AttemptRulesTest, NotRunIsNotReportedAfterAnAttemptThatMayHaveRun) {
   RequestProgress progress = Ran(Start(CallKind::kSafe));
   progress.sends = 2;
   for (const AttemptOutcome outcome :
@@ -67,25 +67,26 @@
   EXPECT_NE(StepAtTimeout(progress, false), NextStep::kRefuse);
 }
 
-TEST(AttemptRulesTest, LimitsOfARepeatedSend) {
+TEST(AttemptRulesTest, RequestIsRefusedAtEachRetryLimit) {
   const RequestProgress base = Start(CallKind::kSafe);
-  RequestProgress spent = base;
-  spent.sends = 2;
+  RequestProgress no_attempts_left = base;
+  no_attempts_left.sends = 2;
   RequestProgress no_budget = base;
   no_budget.retry_allowed = false;
-  RequestProgress alone = base;
-  alone.endpoint_left = false;
-  RequestProgress late = base;
-  late.remaining = Millis(5);
-  for (const RequestProgress& it :
-       std::vector<RequestProgress>{spent, no_budget, alone, late}) {
+  RequestProgress no_other_endpoint = base;
+  no_other_endpoint.endpoint_left = false;
+  RequestProgress near_deadline = base;
+  near_deadline.remaining = Millis(5);
+  for (const RequestProgress& it : std::vector<RequestProgress>{
+           no_attempts_left, no_budget, no_other_endpoint, near_deadline}) {
     EXPECT_EQ(StepAfterAttempt(it, AttemptOutcome::kRefused),
               NextStep::kRefuse);
   }
 }
 
-// An attempt that reached nobody is no arrival at the service.
-TEST(AttemptRulesTest, AFailedConnectionNeedsNoRetryBudget) {
+// An attempt that reached no endpoint adds no load to the service.
+TEST(AttemptRulesTest,
+     FailedConnectionIsRetriedWithoutRetryBudgetUpToTheLimit) {
   RequestProgress progress = Start(CallKind::kUnsafe);
   progress.sends = 0;
   progress.max_attempts = 1;
@@ -97,7 +98,7 @@
             NextStep::kRefuse);
 }
 
-TEST(AttemptRulesTest, AnEndpointsOwnErrorIsDeliveredWhenItCannotBeRepeated) {
+TEST(AttemptRulesTest, ErrorAnswerIsDeliveredIfTheRequestIsNotRepeatable) {
   EXPECT_EQ(
       StepAfterAttempt(Ran(Start(CallKind::kUnsafe)), AttemptOutcome::kFailed),
       NextStep::kDeliver);
@@ -106,7 +107,7 @@
       NextStep::kTryAnother);
 }
 
-TEST(AttemptRulesTest, AStreamThatBegunGoesOnOnlyWhereItMayBeResumed) {
+TEST(AttemptRulesTest, StartedStreamIsResumedOnlyIfResumableElseAborted) {
   RequestProgress progress = Ran(Start(CallKind::kStream, true));
   progress.head_sent = true;
   progress.event_sent = true;
@@ -118,14 +119,14 @@
   EXPECT_EQ(StepAtTimeout(progress, true), NextStep::kBreakOff);
 }
 
-TEST(AttemptRulesTest, ContentThatCrashesEndpointsIsNotRepeated) {
+TEST(AttemptRulesTest, ContentThatCrashesEndpointsIsNotSentAgain) {
   RequestProgress progress = Ran(Start(CallKind::kSafe));
   progress.crashes_endpoints = true;
   EXPECT_EQ(StepAfterAttempt(progress, AttemptOutcome::kBroken),
             NextStep::kBadGateway);
 }
 
-TEST(AttemptRulesTest, NothingIsSentForACallerWhoLeft) {
+TEST(AttemptRulesTest, NothingIsSentAfterTheCallerDisconnects) {
   RequestProgress progress = Start(CallKind::kSafe);
   progress.caller_gone = true;
   EXPECT_EQ(StepAfterAttempt(progress, AttemptOutcome::kRefused),
@@ -133,7 +134,7 @@
   EXPECT_EQ(StepAtTimeout(progress, false), NextStep::kDrop);
 }
 
-TEST(AttemptRulesTest, TimeoutsPromiseNothingOnceARequestWasSent) {
+TEST(AttemptRulesTest, TimeoutIsRefusedOnlyIfNoAttemptIsOpen) {
   EXPECT_EQ(StepAtTimeout(Start(CallKind::kUnsafe), true), NextStep::kTimeOut);
   EXPECT_EQ(StepAtTimeout(Start(CallKind::kUnsafe), false), NextStep::kRefuse);
 }
