--- a/src/transport/event_log.cpp
+++ b/src/transport/event_log.cpp
@@ -12,16 +12,17 @@
 
 namespace {
 
-//! Lines wait this long at most, so that a few hundred lines share one write.
+//! Longest time that a line is buffered before a write is tried, so that a few
+//! hundred lines share one write.
 constexpr Millis kFlushDelay{250};
 
-//! A write that is worth its system call.
+//! Buffered bytes from which the cost of a system call is justified.
 constexpr size_t kFlushBytes = 4 * 1024;
 
-//! One write; pipes take this much in one piece.
+//! Bytes of one write; pipes accept this much atomically.
 constexpr size_t kWriteBytes = 4 * 1024;
 
-//! Bytes that wait at most; a reader that is further behind loses lines.
+//! Limit of the buffer; lines are dropped if the reader is further behind.
 constexpr size_t kMaxBufferedBytes = 512 * 1024;
 
 }  // namespace
@@ -43,20 +44,20 @@
   buf_ += '\n';
   if (buf_.size() >= kFlushBytes) {
     Flush();
-  } else if (!scheduled_) {
-    scheduled_ = true;
+  } else if (!flush_scheduled_) {
+    flush_scheduled_ = true;
     loop_->After(kFlushDelay, [this] {
-      scheduled_ = false;
+      flush_scheduled_ = false;
       Flush();
     });
   }
 }
 
 void EventLog::Flush() {
-  if (dropped_ > reported_ && buf_.size() < kMaxBufferedBytes) {
-    absl::StrAppend(&buf_, "event=log_dropped lines=", dropped_ - reported_,
-                    "\n");
-    reported_ = dropped_;
+  if (dropped_ > reported_dropped_ && buf_.size() < kMaxBufferedBytes) {
+    absl::StrAppend(
+        &buf_, "event=log_dropped lines=", dropped_ - reported_dropped_, "\n");
+    reported_dropped_ = dropped_;
   }
   while (!buf_.empty()) {
     const ssize_t n =
--- a/src/transport/event_log.h
+++ b/src/transport/event_log.h
@@ -8,11 +8,12 @@
 
 class EventLoop;
 
-//! Writes log lines to a descriptor without ever blocking on it.
+//! Writes log lines to a descriptor without blocking.
 //!
-//! Lines collect in memory and go out in large writes; what the reader does not
-//! take in time is dropped and counted. (glog writes each line at once and
-//! blocks, which costs the serving thread too much.) Not thread-safe.
+//! Lines are buffered in memory and written in blocks; lines that do not fit
+//! into the buffer because the reader is behind are dropped and counted. glog
+//! is not used here, as it writes each line at once and blocks, which costs the
+//! serving thread too much. Not thread-safe.
 class EventLog {
  public:
   //! Precondition: `fd` is non-blocking or a file, and outlives the log.
@@ -22,22 +23,22 @@
   EventLog(const EventLog&) = delete;
   EventLog& operator=(const EventLog&) = delete;
 
-  //! Adds one line, without its end.
+  //! Adds one line; `line` has no line feed.
   void Write(const std::string& line);
 
-  //! Writes what the descriptor takes.
+  //! Writes as much of the buffer as the descriptor accepts.
   void Flush();
 
-  //! Lines that were dropped since the start.
+  //! Number of lines dropped since the start.
   uint64_t dropped() const { return dropped_; }
 
  private:
   EventLoop* loop_;
   int fd_;
-  bool scheduled_ = false;
+  bool flush_scheduled_ = false;
   std::string buf_;
   uint64_t dropped_ = 0;
-  uint64_t reported_ = 0;
+  uint64_t reported_dropped_ = 0;
 };
 
 }  // namespace tamaracktrail
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-//! Events taken by one call of epoll_wait; more wait for the next round.
+//! Events handled per wake-up; the rest wait for the next one.
 constexpr int kEventsPerWakeUp = 128;
 
-//! Loops of this kind run together, but apart from GLib's default context:
-//! libraries leave callbacks there that may outlive what they point to.
+//! Context that all event loops share. It is not GLib's default context, as
+//! libraries leave callbacks there that may outlive the objects they use.
 GMainContext* SharedContext() {
   static GMainContext* context = g_main_context_new();
   return context;
@@ -122,8 +122,8 @@
   for (int i = 0; i < n; ++i) {
     const uint64_t tag = events[i].data.u64;
     const auto it = watched_.find(static_cast<int>(tag & 0xffffffffU));
-    // A handler that ran before may have closed this descriptor, and another
-    // connection may have the same number by now.
+    // An earlier handler of this wake-up may have closed the descriptor, and a
+    // new connection may have the same number; its generation differs.
     if (it != watched_.end() && it->second.generation == tag >> 32) {
       it->second.handler->OnReady(events[i].events);
     }
--- a/src/transport/event_loop.h
+++ b/src/transport/event_loop.h
@@ -19,9 +19,10 @@
 
 //! Runs descriptors and timers on a GLib main loop.
 //!
-//! All descriptors hang on one epoll set and all timers on one ready time, so
-//! that the cost of a wake-up does not grow with the number of connections.
-//! Not thread-safe: all calls come from the thread that runs the loop.
+//! All descriptors are in one epoll set, and all timers share the ready time of
+//! one GLib source, so that the cost of a wake-up does not grow with the number
+//! of connections. Not thread-safe: all calls come from the thread that runs
+//! the loop.
 class EventLoop {
  public:
   using Callback = std::function<void()>;
@@ -36,13 +37,15 @@
   //! Watches `fd` for EPOLL `events`. Precondition: `fd` is not watched and
   //! `handler` lives until `Unwatch`.
   void Watch(int fd, uint32_t events, IoHandler* handler);
+  //! Replaces the events of a watched descriptor. Precondition: `fd` is
+  //! watched.
   void Rewatch(int fd, uint32_t events);
   void Unwatch(int fd);
 
-  //! Calls `callback` once, `delay` from now.
+  //! Calls `callback` once, after `delay`.
   TimerId After(Millis delay, Callback callback);
 
-  //! Cancels a timer and resets the id; ids of timers that ran are ignored.
+  //! Cancels a timer and resets the id; has no effect on a timer that has run.
   void Cancel(TimerId* id);
 
   //! Calls `callback` after the handlers of this wake-up.
@@ -52,7 +55,7 @@
   void Run();
   void Quit();
 
-  //! Time since boot, read once a wake-up. Suspension counts.
+  //! Time since boot, suspension included; read once per wake-up.
   Millis Now() const { return now_; }
 
  private:
--- a/src/transport/io_handler.h
+++ b/src/transport/io_handler.h
@@ -5,12 +5,12 @@
 
 namespace tamaracktrail {
 
-//! Told when a descriptor can be read or written.
+//! Receives the events of a descriptor that EventLoop watches.
 class IoHandler {
  public:
   virtual ~IoHandler() = default;
 
-  //! `events` holds EPOLL flags. Called on the loop's thread.
+  //! `events` is a set of EPOLL flags. Called on the loop's thread.
   virtual void OnReady(uint32_t events) = 0;
 };
 
--- a/src/transport/log_line.h
+++ b/src/transport/log_line.h
@@ -10,8 +10,8 @@
 
 namespace tamaracktrail {
 
-//! Builds one line of key=value pairs and writes it when it goes out of scope.
-//! Not thread-safe.
+//! Builds a log line of key=value pairs and writes it on destruction. Not
+//! thread-safe.
 class LogLine {
  public:
   LogLine(EventLog* log, const char* event) : log_(log) {
@@ -32,7 +32,7 @@
     return Add(key, value.count());
   }
 
-  //! Text that may hold blanks.
+  //! Adds a text that may contain spaces; quotes in it are not escaped.
   LogLine& AddQuoted(const char* key, const std::string& value) {
     absl::StrAppend(&line_, " ", key, "=\"", value, "\"");
     return *this;
--- a/src/transport/metrics.h
+++ b/src/transport/metrics.h
@@ -9,13 +9,13 @@
 
 namespace tamaracktrail {
 
-//! Counters, gauges and summaries in the usual text format. Thread-safe.
+//! Counters, gauges and summaries in the Prometheus text format. Thread-safe.
 class Metrics {
  public:
   Metrics();
   ~Metrics();
 
-  //! Adds to a counter. `name` may carry labels: name{key="value"}.
+  //! Adds to a counter. `name` may include labels: name{key="value"}.
   void Count(const std::string& name, int64_t n = 1);
 
   //! Sets a gauge.
@@ -25,6 +25,7 @@
   //! and 0.95.
   void Observe(const std::string& name, double value);
 
+  //! All metrics in the text format.
   std::string Text() const;
 
  private:
