--- a/src/transport/peer_exchange.cpp
+++ b/src/transport/peer_exchange.cpp
@@ -19,11 +19,12 @@
 constexpr char kConfigPath[] = "/config";
 constexpr char kEndpointsPath[] = "/endpoints";
 
-//! Peers that ask at the same time; all others of a data centre may.
+//! Connections from peers: all other instances of a data centre may connect at
+//! the same time.
 constexpr int kMaxConnections = 256;
 
-//! A peer in the same region answers within milliseconds.
-constexpr Millis kAskTimeout{700};
+//! Sufficient, as a peer in the same region answers within milliseconds.
+constexpr Millis kFetchTimeout{700};
 
 std::string Encode(const PeerExchange::Records& records) {
   std::ostringstream out;
@@ -61,29 +62,30 @@
 PeerExchange::~PeerExchange() = default;
 
 void PeerExchange::AskConfig(const std::string& peer) {
-  Ask(peer, kConfigPath, &config_fetch_, hooks_.on_config);
+  Fetch(peer, kConfigPath, &config_fetch_, hooks_.on_config);
 }
 
 void PeerExchange::AskEndpoints(const std::string& peer) {
-  Ask(peer, kEndpointsPath, &endpoint_fetch_, hooks_.on_endpoints);
+  Fetch(peer, kEndpointsPath, &endpoint_fetch_, hooks_.on_endpoints);
 }
 
-void PeerExchange::Ask(const std::string& peer,
-                       const char* path,
-                       std::unique_ptr<HttpFetch>* fetch,
-                       const std::function<void(const Records&)>& apply) {
+void PeerExchange::Fetch(const std::string& peer,
+                         const char* path,
+                         std::unique_ptr<HttpFetch>* fetch,
+                         const std::function<void(const Records&)>& apply) {
   if (*fetch != nullptr) {
     return;
   }
   *fetch = std::make_unique<HttpFetch>(
-      loop_, &pool_, peer, "GET", path, "", kAskTimeout,
-      [this, peer, path, fetch, apply](absl::StatusOr<HttpFetch::Answer> got) {
-        // The fetch lives until its own callback has returned.
+      loop_, &pool_, peer, "GET", path, "", kFetchTimeout,
+      [this, peer, path, fetch,
+       apply](absl::StatusOr<HttpFetch::Answer> answer) {
+        // Keeps the fetch alive until its own callback has returned.
         const auto done = std::move(*fetch);
         Records records;
-        if (got.ok() && got->status == 200) {
+        if (answer.ok() && answer->status == 200) {
           try {
-            std::istringstream in(got->body);
+            std::istringstream in(answer->body);
             cereal::PortableBinaryInputArchive archive(in);
             archive(records);
           } catch (const std::exception&) {
--- a/src/transport/peer_exchange.h
+++ b/src/transport/peer_exchange.h
@@ -17,15 +17,18 @@
 class HttpFetch;
 class Metrics;
 
-//! Lets instances pass on what they know to one that cannot reach the store.
+//! Serves copies of the configuration and the endpoint directory to instances
+//! that cannot reach the store, and fetches such copies from peers.
 //!
-//! What is passed on is only what the store held; who receives it applies its
-//! own checks of versions and order. Not thread-safe.
+//! Only records that the store held are served; the recipient checks versions
+//! and order itself. Not thread-safe.
 class PeerExchange {
  public:
-  //! Keys and values as the store holds them.
+  //! Keys and values as they are in the store.
   using Records = std::vector<std::pair<std::string, std::string>>;
 
+  //! `config` and `endpoints` return the records to serve, none if there is no
+  //! copy; the others receive the records that a peer returned.
   struct Hooks {
     std::function<Records()> config;
     std::function<Records()> endpoints;
@@ -33,7 +36,7 @@
     std::function<void(const Records&)> on_endpoints;
   };
 
-  //! Takes over the listening descriptor `fd`.
+  //! Takes ownership of the listening descriptor `fd`.
   PeerExchange(EventLoop* loop,
                EventLog* log,
                Metrics* metrics,
@@ -44,16 +47,16 @@
   PeerExchange(const PeerExchange&) = delete;
   PeerExchange& operator=(const PeerExchange&) = delete;
 
-  //! Asks a peer ("ip:port") for its configuration or its directory, unless a
-  //! question is open.
+  //! Fetches the configuration or the endpoint directory of a peer ("ip:port"),
+  //! unless a fetch of the same kind is in progress.
   void AskConfig(const std::string& peer);
   void AskEndpoints(const std::string& peer);
 
  private:
-  void Ask(const std::string& peer,
-           const char* path,
-           std::unique_ptr<HttpFetch>* fetch,
-           const std::function<void(const Records&)>& apply);
+  void Fetch(const std::string& peer,
+             const char* path,
+             std::unique_ptr<HttpFetch>* fetch,
+             const std::function<void(const Records&)>& apply);
 
   EventLoop* loop_;
   EventLog* log_;
--- a/src/transport/peer_gossip.cpp
+++ b/src/transport/peer_gossip.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-//! Largest report; a few hundred endpoints fit.
+//! Size limit of a report; it has room for a few hundred endpoints.
 constexpr size_t kMaxReportBytes = 60000;
 
-//! Reports taken in one wake-up.
+//! Reports received per wake-up; the rest wait for the next one.
 constexpr int kReportsPerWakeUp = 64;
 
 }  // namespace
@@ -70,7 +70,7 @@
       cereal::PortableBinaryInputArchive archive(in);
       archive(report);
     } catch (const std::exception&) {
-      // Not from an instance of this release.
+      // The datagram does not come from an instance of this release.
       continue;
     }
     on_report_(report);
--- a/src/transport/peer_gossip.h
+++ b/src/transport/peer_gossip.h
@@ -15,24 +15,27 @@
 
 namespace tamaracktrail {
 
-//! Sends small reports to the other instances over UDP and hears theirs.
+//! Exchanges small reports with the other instances over UDP.
 //!
-//! Reports are hints: they may be lost, late or repeated, and nothing that has
-//! to be right depends on them. Not thread-safe.
+//! Reports are hints: they may be lost, late or repeated, and correctness does
+//! not depend on them. Not thread-safe.
 class PeerGossip : private IoHandler {
  public:
   struct Report {
     uint64_t incarnation = 0;
     std::string instance;
     int64_t config_version = 0;
-    //! Since the sender's directory of endpoints was last known to be whole.
+    //! Time since the sender's endpoint directory was last known to be
+    //! complete.
     int64_t directory_age_ms = 0;
-    std::string address;  //!< Where the sender answers questions.
+    std::string address;  //!< The sender's address for PeerExchange.
     std::vector<std::pair<uint64_t, EndpointLoad>> loads;
-    //! Content and endpoint of crashes; see CrashGuard.
+    //! Hashes of the content and of the endpoint for each crash; see
+    //! CrashGuard.
     std::vector<std::pair<uint64_t, uint64_t>> crashes;
 
-    //! Whether the other says the same, but for its age.
+    //! Whether the reports agree in configuration version, loads and crashes;
+    //! the directory's age is not compared.
     bool SaysTheSame(const Report& other) const {
       return config_version == other.config_version && loads == other.loads &&
              crashes == other.crashes;
@@ -48,18 +51,19 @@
   };
   using OnReport = std::function<void(const Report& report)>;
 
-  //! Takes over the bound, non-blocking UDP descriptor `fd`.
+  //! Takes ownership of the bound, non-blocking UDP descriptor `fd`.
   PeerGossip(EventLoop* loop, int fd, OnReport on_report);
   ~PeerGossip() override;
 
   PeerGossip(const PeerGossip&) = delete;
   PeerGossip& operator=(const PeerGossip&) = delete;
 
-  //! Addresses ("ip:port") that hear the reports.
+  //! Sets the addresses ("ip:port") that reports are sent to.
   void SetPeers(const std::vector<std::string>& addresses);
   size_t peers() const { return peers_.size(); }
 
-  //! Sends a report to all peers; what the kernel does not take is lost.
+  //! Sends a report to all peers; datagrams that the kernel does not accept are
+  //! lost. A report above the size limit is not sent.
   void Send(const Report& report);
 
  private:
