--- a/src/transport/relay/answer_head.h
+++ b/src/transport/relay/answer_head.h
@@ -9,13 +9,14 @@
 
 namespace tamaracktrail {
 
-//! Head of an answer to a caller; framing fields are added when it is sent.
+//! Head of an answer to a caller, without the fields that frame the body:
+//! CallerConnection adds them when it writes the head.
 struct AnswerHead {
   int status = 200;
   std::string reason;
   HttpFields fields;
-  std::optional<uint64_t> length;  //!< Of the body; none: sent in chunks.
-  bool last = false;  //!< The caller is to connect anew for its next request.
+  std::optional<uint64_t> length;  //!< Of the body; unset for chunked coding.
+  bool close_connection = false;   //!< Close after this answer.
 };
 
 }  // namespace tamaracktrail
--- a/src/transport/relay/caller_connection.cpp
+++ b/src/transport/relay/caller_connection.cpp
@@ -17,18 +17,19 @@
 
 namespace {
 
-//! One read.
+//! Bytes of one read.
 constexpr size_t kReadBytes = 64 * 1024;
 
-//! Bytes of later requests that are read while one is worked on.
-constexpr size_t kMaxReadAhead = 64 * 1024;
+//! Bytes of pipelined requests that are read while one is in progress.
+constexpr size_t kMaxReadAheadBytes = 64 * 1024;
 
-//! Unsent bytes of an answer from which its source is paused.
+//! Unsent bytes of an answer above which its source is paused.
 constexpr size_t kCongestedBytes = 256 * 1024;
 
-//! After a refusal the rest of the request is read for this long: closing on
-//! unread bytes would reset the connection and take the answer with it.
-constexpr Millis kLinger{1000};
+//! Time for which input is still read and discarded after the last answer:
+//! closing a connection with unread bytes would reset it, and the caller could
+//! lose the answer.
+constexpr Millis kLingerTime{1000};
 
 }  // namespace
 
@@ -36,7 +37,7 @@
     : loop_(loop),
       server_(server),
       stream_(TcpStream::Adopt(loop, fd, this)),
-      since_(loop->Now()) {}
+      waiting_since_(loop->Now()) {}
 
 CallerConnection::~CallerConnection() = default;
 
@@ -45,14 +46,14 @@
 }
 
 void CallerConnection::OnReadable() {
-  const size_t before = in_.size();
-  const TcpStream::ReadResult result = stream_->Read(&in_, kReadBytes);
+  const size_t before = input_.size();
+  const TcpStream::ReadResult result = stream_->Read(&input_, kReadBytes);
   if (result == TcpStream::ReadResult::kEnd ||
       result == TcpStream::ReadResult::kFailed) {
     Close();
     return;
   }
-  if (in_.size() == before) {
+  if (input_.size() == before) {
     return;
   }
   switch (phase_) {
@@ -60,27 +61,27 @@
       ReadRequest();
       break;
     case Phase::kServing:
-      if (in_.size() > kMaxReadAhead) {
+      if (input_.size() > kMaxReadAheadBytes) {
         stream_->PauseReading(true);
       }
       break;
     case Phase::kLingering:
-      in_.clear();
+      input_.clear();
       break;
   }
 }
 
 void CallerConnection::ReadRequest() {
-  if (in_.empty()) {
+  if (input_.empty()) {
     return;
   }
   if (reader_ == nullptr) {
     reader_ = std::make_unique<HttpReader>(HttpReader::Kind::kRequest,
                                            limits().max_header_bytes);
     request_begun_ = true;
-    since_ = loop_->Now();
+    waiting_since_ = loop_->Now();
   }
-  const absl::Status fed = reader_->Feed(&in_);
+  const absl::Status fed = reader_->Feed(&input_);
   if (absl::IsResourceExhausted(fed)) {
     Refuse(431, "Request Header Fields Too Large");
     return;
@@ -89,10 +90,10 @@
     Refuse(400, "Bad Request");
     return;
   }
-  const uint64_t announced =
+  const uint64_t declared_length =
       reader_->head_done() ? reader_->content_length().value_or(0) : 0;
   if (reader_->head_done() &&
-      std::max<uint64_t>(announced, reader_->body().size()) >
+      std::max<uint64_t>(declared_length, reader_->body().size()) >
           limits().max_body_bytes) {
     Refuse(413, "Content Too Large");
     return;
@@ -109,9 +110,9 @@
   request.fields = reader_->fields();
   request.body =
       std::make_shared<const std::string>(std::move(reader_->body()));
-  request.began = since_;
+  request.first_byte_at = waiting_since_;
   keep_alive_ = reader_->keep_alive() && reader_->is_http_1_1();
-  head_method_ = request.method == "HEAD";
+  is_head_request_ = request.method == "HEAD";
   reader_.reset();
   phase_ = Phase::kServing;
   answer_begun_ = false;
@@ -135,7 +136,7 @@
   CHECK(phase_ == Phase::kServing && !answer_begun_) << "event=second_answer";
   answer_begun_ = true;
   chunked_ = !head.length.has_value();
-  close_after_ = !keep_alive_ || head.last || server_->draining();
+  close_after_ = !keep_alive_ || head.close_connection || server_->draining();
   std::string text =
       absl::StrCat("HTTP/1.1 ", head.status, " ", head.reason, "\r\n");
   for (const HttpField& it : head.fields.all()) {
@@ -157,7 +158,7 @@
 
 void CallerConnection::WriteBody(std::string_view bytes) {
   CHECK(answer_begun_) << "event=body_without_head";
-  if (bytes.empty() || head_method_) {
+  if (bytes.empty() || is_head_request_) {
     return;
   }
   if (chunked_) {
@@ -171,7 +172,7 @@
 }
 
 void CallerConnection::EndAnswer() {
-  if (chunked_ && !head_method_) {
+  if (chunked_ && !is_head_request_) {
     stream_->Write("0\r\n\r\n");
   }
   stream_->Flush();
@@ -193,15 +194,15 @@
   }
   phase_ = Phase::kReading;
   request_begun_ = false;
-  since_ = loop_->Now();
+  waiting_since_ = loop_->Now();
   stream_->PauseReading(false);
   ReadRequest();
 }
 
 void CallerConnection::StartLingering() {
   phase_ = Phase::kLingering;
-  since_ = loop_->Now();
-  in_.clear();
+  waiting_since_ = loop_->Now();
+  input_.clear();
   stream_->PauseReading(false);
   if (stream_->pending() == 0) {
     stream_->ShutDownWriting();
@@ -238,9 +239,9 @@
 }
 
 void CallerConnection::OnTick(Millis now) {
-  const Millis waited = now - since_;
+  const Millis waited = now - waiting_since_;
   if (phase_ == Phase::kLingering) {
-    if (waited > kLinger && stream_->pending() == 0) {
+    if (waited > kLingerTime && stream_->pending() == 0) {
       Close();
     }
   } else if (phase_ == Phase::kReading && request_begun_) {
--- a/src/transport/relay/caller_connection.h
+++ b/src/transport/relay/caller_connection.h
@@ -22,8 +22,8 @@
 //! One connection of a caller: reads requests one after another and writes
 //! their answers.
 //!
-//! Reading goes on while a request is worked on, so that a caller who leaves is
-//! noticed at once. Not thread-safe.
+//! The connection is read while a request is in progress, so that a disconnect
+//! is detected at once. Not thread-safe.
 class CallerConnection : private TcpStream::Observer {
  public:
   CallerConnection(EventLoop* loop, RelayServer* server, int fd);
@@ -32,23 +32,29 @@
   CallerConnection(const CallerConnection&) = delete;
   CallerConnection& operator=(const CallerConnection&) = delete;
 
-  //! Starts an answer. Precondition: a request is open and has no answer.
+  //! Writes the head of an answer. Precondition: a request is in progress and
+  //! its answer has not begun.
   void BeginAnswer(const AnswerHead& head);
-  //! Precondition: the answer has begun; with a length, no byte beyond it.
+  //! Precondition: the answer has begun; the total stays within its length if
+  //! it has one.
   void WriteBody(std::string_view bytes);
-  //! The answer is whole. The task is destroyed soon after.
+  //! Completes the answer. The task is destroyed after the handlers of this
+  //! wake-up.
   void EndAnswer();
-  //! A whole answer in one go.
+  //! Writes a complete answer. Precondition: as for `BeginAnswer`.
   void Answer(AnswerHead head, std::string_view body);
-  //! Ends the connection so that the answer can't be taken for whole.
+  //! Resets the connection, so that the caller can't take a partial answer for
+  //! a complete one.
   void BreakOff();
 
-  //! Whether the caller takes bytes more slowly than they come.
+  //! Whether the caller reads so slowly that the source of the answer has to
+  //! pause.
   bool congested() const;
   bool answer_begun() const { return answer_begun_; }
   bool busy() const { return task_ != nullptr; }
 
-  //! Closes what took too long.
+  //! Refuses a request whose head is late, and closes a connection that
+  //! exceeded its timeout.
   void OnTick(Millis now);
 
  private:
@@ -71,12 +77,12 @@
   std::unique_ptr<TcpStream> stream_;
   std::unique_ptr<HttpReader> reader_;
   std::unique_ptr<RequestTask> task_;
-  std::string in_;
+  std::string input_;
   Phase phase_ = Phase::kReading;
-  Millis since_;  //!< Start of the present wait.
+  Millis waiting_since_;  //!< What the timeouts of the phase count from.
   bool request_begun_ = false;
   bool keep_alive_ = true;
-  bool head_method_ = false;
+  bool is_head_request_ = false;
   bool answer_begun_ = false;
   bool chunked_ = false;
   bool close_after_ = false;
--- a/src/transport/relay/caller_request.h
+++ b/src/transport/relay/caller_request.h
@@ -9,13 +9,13 @@
 
 namespace tamaracktrail {
 
-//! A whole request of a caller. Immutable once it was read.
+//! A complete request from a caller. Immutable after it has been read.
 struct CallerRequest {
   std::string method;
   std::string target;
   HttpFields fields;
   std::shared_ptr<const std::string> body;
-  Millis began;  //!< When its first byte was read.
+  Millis first_byte_at;  //!< When its first byte was read.
 };
 
 }  // namespace tamaracktrail
--- a/src/transport/relay/endpoint_call.cpp
+++ b/src/transport/relay/endpoint_call.cpp
@@ -12,35 +12,36 @@
 
 namespace {
 
-//! Head of an answer, far above what endpoints send.
+//! Limit for the head of an answer, far above what endpoints send.
 constexpr uint32_t kMaxAnswerHeadBytes = 64 * 1024;
 
-//! One read; the rest comes with the next event.
+//! Bytes of one read; the rest is read on the next event.
 constexpr size_t kReadBytes = 64 * 1024;
 
-//! Idle connections are kept this long where the endpoint names no time.
-constexpr Millis kDefaultKeep{8000};
+//! Idle connections are kept this long if the endpoint sends no Keep-Alive
+//! timeout.
+constexpr Millis kDefaultKeepAlive{8000};
 
-//! Part of the endpoint's own idle timeout that is used, so that a request
-//! does not cross the endpoint's close.
-constexpr double kKeepPart = 0.7;
+//! Fraction of the endpoint's Keep-Alive timeout that is used, so that no
+//! request is sent while the endpoint closes the connection.
+constexpr double kKeepAliveFraction = 0.7;
 
-Millis KeepTime(const HttpReader& answer) {
+Millis KeepAliveTime(const HttpReader& answer) {
   const auto field = answer.fields().Find("Keep-Alive");
   if (!field) {
-    return kDefaultKeep;
+    return kDefaultKeepAlive;
   }
   const size_t at = field->find("timeout=");
   double seconds = 0;
   if (at == std::string_view::npos) {
-    return kDefaultKeep;
+    return kDefaultKeepAlive;
   }
   std::string_view text = field->substr(at + 8);
   text = text.substr(0, text.find_first_of(", ;"));
   if (!absl::SimpleAtod(AsAbsl(text), &seconds)) {
-    return kDefaultKeep;
+    return kDefaultKeepAlive;
   }
-  return Millis(static_cast<int64_t>(seconds * 1000 * kKeepPart));
+  return Millis(static_cast<int64_t>(seconds * 1000 * kKeepAliveFraction));
 }
 
 }  // namespace
@@ -72,7 +73,7 @@
     return;
   }
   auto connecting = TcpStream::Connect(loop_, options_.address,
-                                       options_.unacknowledged, this);
+                                       options_.unacknowledged_timeout, this);
   if (!connecting.ok()) {
     const absl::Status& status = connecting.status();
     loop_->Defer([this, alive = alive_, status] {
@@ -89,7 +90,7 @@
 }
 
 void EndpointCall::SendRequest() {
-  sent_before_ = stream_->bytes_sent();
+  bytes_sent_before_ = stream_->bytes_sent();
   request_written_ = true;
   stream_->Write(head_);
   if (body_ != nullptr) {
@@ -120,11 +121,11 @@
     Fail(absl::UnavailableError("the connection was reset"));
     return;
   }
-  Progress(ended);
+  ProcessInput(ended);
 }
 
 bool EndpointCall::ReadOnce(bool* ended) {
-  switch (stream_->Read(&in_, kReadBytes)) {
+  switch (stream_->Read(&input_, kReadBytes)) {
     case TcpStream::ReadResult::kEnd:
       *ended = true;
       return true;
@@ -135,9 +136,9 @@
   }
 }
 
-void EndpointCall::Progress(bool ended) {
-  while (FeedReader(ended) && TellObserver() && reader_->done()) {
-    if (!foreign_) {
+void EndpointCall::ProcessInput(bool ended) {
+  while (FeedReader(ended) && NotifyObserver() && reader_->done()) {
+    if (!discard_answer_) {
       FinishAnswer();
       return;
     }
@@ -146,7 +147,7 @@
       return;
     }
     StartReader();
-    if (in_.empty()) {
+    if (input_.empty()) {
       return;
     }
   }
@@ -158,12 +159,12 @@
   if (!options_.expects_body) {
     reader_->ExpectNoBody();
   }
-  head_told_ = false;
-  foreign_ = false;
+  head_reported_ = false;
+  discard_answer_ = false;
 }
 
 bool EndpointCall::FeedReader(bool ended) {
-  absl::Status fed = reader_->Feed(&in_);
+  absl::Status fed = reader_->Feed(&input_);
   if (fed.ok() && ended && !reader_->done()) {
     fed = reader_->ends_with_connection() ? reader_->FeedEnd()
                                           : absl::DataLossError("cut answer");
@@ -174,19 +175,19 @@
   return fed.ok();
 }
 
-bool EndpointCall::TellObserver() {
+bool EndpointCall::NotifyObserver() {
   const std::shared_ptr<bool> alive = alive_;
-  if (reader_->head_done() && !head_told_) {
-    head_told_ = true;
+  if (reader_->head_done() && !head_reported_) {
+    head_reported_ = true;
     const bool interim = reader_->status() / 100 == 1;
-    const bool foreign = interim || !observer_->OnAnswerHead(*reader_);
+    const bool discard = interim || !observer_->OnAnswerHead(*reader_);
     if (!*alive) {
       return false;
     }
-    foreign_ = foreign;
-    met_foreign_ = met_foreign_ || (foreign && !interim);
+    discard_answer_ = discard;
+    saw_mismatched_answer_ = saw_mismatched_answer_ || (discard && !interim);
   }
-  if (foreign_) {
+  if (discard_answer_) {
     reader_->body().clear();
   } else if (!reader_->body().empty()) {
     observer_->OnAnswerBody(&reader_->body());
@@ -195,13 +196,14 @@
 }
 
 void EndpointCall::FinishAnswer() {
-  // Bytes behind the answer, or a request that is not out yet, make the
-  // connection useless for the next request.
-  const bool clean = in_.empty() && stream_->pending() == 0 && !met_foreign_ &&
-                     reader_->keep_alive() && !reader_->ends_with_connection();
-  if (clean) {
+  // The connection can't be reused if bytes follow the answer, or if the
+  // request has not been sent completely.
+  const bool reusable = input_.empty() && stream_->pending() == 0 &&
+                        !saw_mismatched_answer_ && reader_->keep_alive() &&
+                        !reader_->ends_with_connection();
+  if (reusable) {
     stream_->PauseReading(false);
-    pool_->Put(options_.endpoint, std::move(stream_), KeepTime(*reader_));
+    pool_->Put(options_.endpoint, std::move(stream_), KeepAliveTime(*reader_));
   } else {
     stream_.reset();
   }
--- a/src/transport/relay/endpoint_call.h
+++ b/src/transport/relay/endpoint_call.h
@@ -15,40 +15,41 @@
 class EndpointPool;
 class HttpReader;
 
-//! One HTTP exchange with an endpoint: connects or takes an idle connection,
+//! One HTTP exchange with an endpoint: connects or reuses an idle connection,
 //! sends a request once, and reads one answer.
 //!
-//! It never sends again by itself. Destroying it closes the connection. Not
+//! It never repeats the request. Destroying the call closes the connection. Not
 //! thread-safe.
 class EndpointCall : private TcpStream::Observer {
  public:
-  //! Hears of the answer; may destroy the call in any of its functions.
+  //! Receives the answer; may destroy the call in any of its functions.
   class Observer {
    public:
     virtual ~Observer() = default;
 
-    //! The head is complete. Returns false where the answer belongs to another
-    //! request: it is read and thrown away, and the next one is awaited.
+    //! The head is complete. Returns false if the answer belongs to another
+    //! request: it is read and discarded, and the next one is awaited.
     virtual bool OnAnswerHead(const HttpReader& answer) = 0;
 
-    //! Bytes of the body; what is left in `body` comes again.
+    //! Bytes of the body; those left in `body` are passed again with the next
+    //! ones.
     virtual void OnAnswerBody(std::string* body) = 0;
 
-    //! The answer is whole.
+    //! The answer is complete.
     virtual void OnAnswerDone() = 0;
 
-    //! No (whole) answer will come. `sent`: bytes of the request may have
-    //! reached the endpoint.
+    //! The exchange failed before the answer was complete. `sent`: bytes of the
+    //! request may have reached the endpoint.
     virtual void OnCallFailed(const absl::Status& status, bool sent) = 0;
   };
 
   struct Options {
-    uint64_t endpoint = 0;  //!< Names the endpoint's connections in the pool.
-    std::string address;    //!< "ip:port".
+    uint64_t endpoint = 0;     //!< Key of its connections in the pool.
+    std::string address;       //!< "ip:port".
     bool expects_body = true;  //!< False for the HEAD method.
     Millis connect_timeout;
-    Millis unacknowledged;  //!< Longest time without a sign from the peer.
-    Millis max_idle;        //!< Of a connection that is taken from the pool.
+    Millis unacknowledged_timeout;  //!< Of sent bytes; see TcpStream::Connect.
+    Millis max_idle;                //!< Of a connection taken from the pool.
   };
 
   //! Precondition: loop, pool and observer outlive the call.
@@ -61,10 +62,10 @@
   EndpointCall(const EndpointCall&) = delete;
   EndpointCall& operator=(const EndpointCall&) = delete;
 
-  //! Starts the exchange; failures are told from the loop. Call once.
+  //! Starts the exchange; failures are reported from the loop. Call once.
   void Start(const std::string& head, std::shared_ptr<const std::string> body);
 
-  //! Stops or goes on reading the answer, for back-pressure.
+  //! Pauses or resumes reading the answer, for back-pressure.
   void PauseReading(bool pause);
 
   //! Whether bytes of the request may have reached the endpoint.
@@ -78,11 +79,11 @@
 
   void SendRequest();
   bool ReadOnce(bool* ended);
-  void Progress(bool ended);
+  void ProcessInput(bool ended);
   void StartReader();
   bool FeedReader(bool ended);
-  //! False once the call was destroyed.
-  bool TellObserver();
+  //! Returns false if the observer destroyed the call.
+  bool NotifyObserver();
   void FinishAnswer();
   void Fail(const absl::Status& status);
 
@@ -94,15 +95,16 @@
   std::unique_ptr<HttpReader> reader_;
   std::string head_;
   std::shared_ptr<const std::string> body_;
-  std::string in_;
+  std::string input_;
   EventLoop::TimerId connect_timer_{};
-  uint64_t sent_before_ = 0;  //!< By earlier requests on this connection.
+  uint64_t bytes_sent_before_ = 0;  //!< Bytes of earlier requests.
   bool request_written_ = false;
   bool reused_ = false;
-  bool head_told_ = false;
-  bool foreign_ = false;  //!< The answer being read belongs to another request.
-  bool met_foreign_ = false;
-  //! Guards against destruction inside an observer's function.
+  bool head_reported_ = false;
+  bool discard_answer_ = false;  //!< The answer is interim or mismatched.
+  bool saw_mismatched_answer_ = false;
+  //! False after the call was destroyed; copies detect a destruction inside an
+  //! observer's function.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/transport/relay/endpoint_pool.cpp
+++ b/src/transport/relay/endpoint_pool.cpp
@@ -9,19 +9,19 @@
 
 namespace tamaracktrail {
 
-//! Watches one idle connection.
+//! Watches one idle connection and removes it on any input or failure.
 class EndpointPool::Idle : public TcpStream::Observer {
  public:
   Idle(EndpointPool* pool,
        uint64_t endpoint,
        std::unique_ptr<TcpStream> stream,
-       Millis since,
-       Millis until)
+       Millis idle_since,
+       Millis expires_at)
       : pool_(pool),
         endpoint_(endpoint),
         stream_(std::move(stream)),
-        since_(since),
-        until_(until) {
+        idle_since_(idle_since),
+        expires_at_(expires_at) {
     stream_->SetObserver(this);
   }
 
@@ -36,16 +36,16 @@
   void OnFailed(const absl::Status&) override { pool_->Remove(this, true); }
 
   uint64_t endpoint() const { return endpoint_; }
-  Millis since() const { return since_; }
-  Millis until() const { return until_; }
+  Millis idle_since() const { return idle_since_; }
+  Millis expires_at() const { return expires_at_; }
   std::unique_ptr<TcpStream> Release() { return std::move(stream_); }
 
  private:
   EndpointPool* pool_;
   uint64_t endpoint_;
   std::unique_ptr<TcpStream> stream_;
-  Millis since_;
-  Millis until_;
+  Millis idle_since_;
+  Millis expires_at_;
 };
 
 EndpointPool::EndpointPool(EventLoop* loop, BrokenCallback on_broken)
@@ -64,10 +64,10 @@
   while (!it->second.empty() && stream == nullptr) {
     const std::unique_ptr<Idle> newest = std::move(it->second.back());
     it->second.pop_back();
-    if (now >= newest->until()) {
+    if (now >= newest->expires_at()) {
       continue;
     }
-    if (now - newest->since() > max_idle) {
+    if (now - newest->idle_since() > max_idle) {
       break;
     }
     stream = newest->Release();
@@ -80,17 +80,17 @@
 
 void EndpointPool::Put(uint64_t endpoint,
                        std::unique_ptr<TcpStream> stream,
-                       Millis keep) {
+                       Millis keep_alive) {
   const Millis now = loop_->Now();
   idle_[endpoint].push_back(std::make_unique<Idle>(
-      this, endpoint, std::move(stream), now, now + keep));
+      this, endpoint, std::move(stream), now, now + keep_alive));
 }
 
 void EndpointPool::OnTick() {
   const Millis now = loop_->Now();
   for (auto it = idle_.begin(); it != idle_.end();) {
     std::erase_if(it->second,
-                  [&](const auto& idle) { return now >= idle->until(); });
+                  [&](const auto& idle) { return now >= idle->expires_at(); });
     it = it->second.empty() ? idle_.erase(it) : std::next(it);
   }
 }
--- a/src/transport/relay/endpoint_pool.h
+++ b/src/transport/relay/endpoint_pool.h
@@ -17,28 +17,30 @@
 
 //! Idle connections to endpoints, by the hash of the endpoint's incarnation.
 //!
-//! A connection that shows any sign of life while it is idle is closed: what
-//! comes without a request belongs to none. Not thread-safe.
+//! An idle connection on which bytes, the end of the stream or an error arrive
+//! is closed, as bytes without a request belong to no answer. Not thread-safe.
 class EndpointPool {
  public:
   using BrokenCallback = std::function<void(uint64_t endpoint)>;
 
-  //! `on_broken` hears of idle connections that were reset.
+  //! `on_broken` is called for each idle connection that failed.
   EndpointPool(EventLoop* loop, BrokenCallback on_broken);
   ~EndpointPool();
 
   EndpointPool(const EndpointPool&) = delete;
   EndpointPool& operator=(const EndpointPool&) = delete;
 
-  //! The connection used last, if it was idle for no longer than `max_idle`;
-  //! nullptr for none.
+  //! Returns the most recently used connection if it was idle for at most
+  //! `max_idle`, or nullptr.
   std::unique_ptr<TcpStream> Take(uint64_t endpoint, Millis max_idle);
 
-  //! Keeps a connection for at most `keep`. Precondition: a whole answer was
-  //! read from it and nothing else.
-  void Put(uint64_t endpoint, std::unique_ptr<TcpStream> stream, Millis keep);
+  //! Keeps a connection for at most `keep_alive`. Precondition: a complete
+  //! answer and no byte beyond it was read.
+  void Put(uint64_t endpoint,
+           std::unique_ptr<TcpStream> stream,
+           Millis keep_alive);
 
-  //! Closes connections that were idle for too long.
+  //! Closes connections that have expired.
   void OnTick();
 
   size_t size() const;
--- a/src/transport/relay/http_fetch.cpp
+++ b/src/transport/relay/http_fetch.cpp
@@ -11,10 +11,11 @@
 
 namespace {
 
-//! Time to connect within a region; a lost opening packet is dialled anew.
+//! Connect timeout within a region; after a lost SYN a new connection is made.
 constexpr Millis kConnectTimeout{500};
 
-//! An idle connection may have gone silent, so old ones are not used again.
+//! Connections that were idle for longer are not reused, as the peer may have
+//! become unresponsive.
 constexpr Millis kMaxIdle{10000};
 
 }  // namespace
@@ -32,7 +33,7 @@
   options.endpoint = StableHash(address);
   options.address = address;
   options.connect_timeout = std::min(kConnectTimeout, timeout);
-  options.unacknowledged = timeout;
+  options.unacknowledged_timeout = timeout;
   options.max_idle = kMaxIdle;
   call_ = std::make_unique<EndpointCall>(loop, pool, options, this);
   std::string head =
--- a/src/transport/relay/http_fetch.h
+++ b/src/transport/relay/http_fetch.h
@@ -14,8 +14,8 @@
 
 class EndpointPool;
 
-//! One HTTP call whose answer is small enough to be held in memory. Destroying
-//! it cancels the call. Not thread-safe.
+//! One HTTP call that buffers the complete answer in memory; meant for small
+//! answers. Destroying it cancels the call. Not thread-safe.
 class HttpFetch : public EndpointCall::Observer {
  public:
   //! An answer with any status.
@@ -25,9 +25,9 @@
   };
   using Callback = std::function<void(absl::StatusOr<Answer>)>;
 
-  //! Starts the call; `callback` is called once and from the loop, and may
-  //! destroy the fetch. Errors: DeadlineExceeded after `timeout`, Unavailable
-  //! where the connection failed. Precondition: loop and pool outlive it.
+  //! Starts the call. `callback` is called once, from the loop, and may destroy
+  //! the fetch. Errors: DeadlineExceeded after `timeout`, Unavailable if the
+  //! call failed. Precondition: loop and pool outlive the fetch.
   HttpFetch(EventLoop* loop,
             EndpointPool* pool,
             const std::string& address,
--- a/src/transport/relay/relay_context.cpp
+++ b/src/transport/relay/relay_context.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-//! Beginnings of prompts that are remembered; about 100 bytes each.
-constexpr size_t kRememberedBeginnings = 20000;
+//! Prompt prefixes in the index; each takes about 100 bytes.
+constexpr size_t kPrefixIndexCapacity = 20000;
 
-//! Part of the fleet's retry budget that is used: instances start, and their
-//! windows do not begin together.
-constexpr double kRetryMargin = 0.8;
+//! Fraction of the fleet's retry budget that is used. The rest allows for
+//! instances that start and for windows that do not begin at the same time.
+constexpr double kRetryBudgetFraction = 0.8;
 
 }  // namespace
 
@@ -31,8 +31,8 @@
       metrics(metrics_sink),
       dialect(std::move(call_dialect)),
       options(std::move(deployment)),
-      memory(kRememberedBeginnings),
-      placement(&board, &memory, options.data_centre),
+      prefix_cache_index(kPrefixIndexCapacity),
+      placement(&board, &prefix_cache_index, options.data_centre),
       shares({options.instance, options.incarnation, options.boot}),
       pool(event_loop,
            [this](uint64_t endpoint) {
@@ -50,37 +50,38 @@
 void RelayContext::SetInstances(int n) {
   instances = std::max(1, n);
   shares.SetInstances(instances);
-  for (auto& [service, budget] : retries) {
-    budget.SetBurst(options.retry_extra * kRetryMargin / instances);
+  for (auto& [service, budget] : retry_budgets) {
+    budget.SetBurst(options.retry_extra * kRetryBudgetFraction / instances);
   }
 }
 
-RetryBudget& RelayContext::Retries(const std::string& service) {
-  const auto it = retries.find(service);
-  if (it != retries.end()) {
+RetryBudget& RelayContext::RetryBudgetFor(const std::string& service) {
+  const auto it = retry_budgets.find(service);
+  if (it != retry_budgets.end()) {
     return it->second;
   }
-  return retries
-      .emplace(service,
-               RetryBudget(options.retry_ratio * kRetryMargin,
-                           options.retry_extra * kRetryMargin / instances))
+  return retry_budgets
+      .emplace(service, RetryBudget(options.retry_ratio * kRetryBudgetFraction,
+                                    options.retry_extra * kRetryBudgetFraction /
+                                        instances))
       .first->second;
 }
 
 void RelayContext::OnSharesChanged() {
-  std::vector<RelayTask*> ordered(waiting.begin(), waiting.end());
+  std::vector<RelayTask*> ordered(waiting_for_share.begin(),
+                                  waiting_for_share.end());
   std::sort(ordered.begin(), ordered.end(),
             [](const RelayTask* a, const RelayTask* b) {
               return a->wait_order() < b->wait_order();
             });
   for (RelayTask* it : ordered) {
-    if (waiting.contains(it)) {
+    if (waiting_for_share.contains(it)) {
       it->OnSharesChanged();
     }
   }
 }
 
-double RelayContext::Draw() {
+double RelayContext::RandomFraction() {
   return std::uniform_real_distribution<double>(0, 1)(random);
 }
 
--- a/src/transport/relay/relay_context.h
+++ b/src/transport/relay/relay_context.h
@@ -29,16 +29,16 @@
 class RelayTask;
 class RoutingConfig;
 
-//! What all requests of an instance share. Not thread-safe.
+//! State that all requests of an instance share. Not thread-safe.
 struct RelayContext {
-  //! Figures of the deployment.
+  //! Settings of the deployment.
   struct Options {
     std::string data_centre;
     std::string instance;
     uint64_t incarnation = 0;
-    std::string boot;          //!< Names the boot of the machine.
-    double retry_ratio = 0.2;  //!< Retries a request, over all instances.
-    double retry_extra = 0;    //!< More retries a window, over all instances.
+    std::string boot;          //!< Identifies the boot of the machine.
+    double retry_ratio = 0.2;  //!< Retries per request, over all instances.
+    double retry_extra = 0;    //!< More retries per window, over all instances.
   };
 
   //! Precondition: loop, log and metrics outlive the context.
@@ -49,25 +49,27 @@
                Options options);
   ~RelayContext();
 
-  //! A configuration came into force.
+  //! Puts a configuration into force.
   void SetConfig(std::shared_ptr<const RoutingConfig> next);
 
-  //! Whether callers had better reach another instance.
+  //! Whether callers are sent to other instances.
   bool SendsCallersElsewhere() const {
     return outage.active() || congestion.active();
   }
 
-  //! How many instances share budgets and retries.
+  //! Number of instances that share the budgets and the retry budget.
   void SetInstances(int n);
 
-  //! The retry budget of a service.
-  RetryBudget& Retries(const std::string& service);
+  //! This instance's part of the retry budget of a service; created on first
+  //! use.
+  RetryBudget& RetryBudgetFor(const std::string& service);
 
-  //! Requests that wait for a share look again.
+  //! Shares may have grown: requests that wait for one try to reserve again, in
+  //! their `wait_order`.
   void OnSharesChanged();
 
-  //! Uniform in [0, 1).
-  double Draw();
+  //! Random number, uniform in [0, 1).
+  double RandomFraction();
 
   EventLoop* loop;
   EventLog* log;
@@ -76,7 +78,7 @@
   Options options;
   std::shared_ptr<const RoutingConfig> config;
   EndpointBoard board;
-  PrefixMemory memory;
+  PrefixMemory prefix_cache_index;
   Placement placement;
   BudgetShares shares;
   ShareOutage outage;
@@ -85,15 +87,15 @@
   EndpointPool pool;
   std::mt19937_64 random;
   int instances = 1;
-  std::map<std::string, RetryBudget> retries;
-  std::set<RelayTask*> waiting;
-  //! While the process ends: no new streams after the first, and no answer
-  //! after the second; 0 for no end in sight.
+  std::map<std::string, RetryBudget> retry_budgets;
+  std::set<RelayTask*> waiting_for_share;
+  //! During shutdown, no stream is admitted after `last_stream_at`, and all
+  //! answers have to be complete by `ends_at`. 0 before the shutdown.
   Millis last_stream_at;
   Millis ends_at;
-  //! Whether shares can grow: false while the log cannot be reached.
+  //! False while the log cannot be reached, so that shares cannot grow.
   std::function<bool()> shares_can_grow = [] { return true; };
-  //! Called when a request is short of a share.
+  //! Called when a share is insufficient for a request.
   std::function<void()> on_share_short = [] {};
 };
 
--- a/src/transport/relay/relay_limits.h
+++ b/src/transport/relay/relay_limits.h
@@ -5,19 +5,20 @@
 
 namespace tamaracktrail {
 
-//! The answer is due this long before the caller or the route gives up, since
-//! it still has to reach the caller.
-constexpr Millis kEndMargin{20};
+//! An answer is due this long before the deadline of the caller or the route,
+//! since it still has to reach the caller.
+constexpr Millis kDeadlineMargin{20};
 
-//! Shortest and longest wait that a refused caller is told.
-constexpr Millis kLeastRetryAfter{100};
-constexpr Millis kMostRetryAfter{3000};
+//! Bounds of the Retry-After of a refusal.
+constexpr Millis kMinRetryAfter{100};
+constexpr Millis kMaxRetryAfter{3000};
 
-//! A refused caller comes back when about this much has changed. It comes to
-//! another instance, whose share may be larger.
-constexpr Millis kNoEndpointWait{400};
-constexpr Millis kNoConfigWait{500};
-constexpr Millis kNoShareWait{150};
+//! Retry-After by the reason of the refusal: the time after which the condition
+//! is likely to have changed. The retry goes to another instance, whose share
+//! may be larger.
+constexpr Millis kNoEndpointRetryAfter{400};
+constexpr Millis kNoConfigRetryAfter{500};
+constexpr Millis kNoShareRetryAfter{150};
 
 }  // namespace tamaracktrail
 
--- a/src/transport/relay/relay_server.cpp
+++ b/src/transport/relay/relay_server.cpp
@@ -18,10 +18,10 @@
 
 namespace {
 
-//! Pace of the check for callers that take too long.
-constexpr Millis kTick{250};
+//! Interval between checks of the connections' timeouts.
+constexpr Millis kTimeoutCheckInterval{250};
 
-//! Callers accepted in one wake-up; more come with the next one.
+//! Connections accepted per wake-up; the rest wait for the next one.
 constexpr int kAcceptsPerWakeUp = 64;
 
 }  // namespace
@@ -82,7 +82,7 @@
   for (CallerConnection* it : all) {
     it->OnTick(loop_->Now());
   }
-  tick_ = loop_->After(kTick, [this] { Tick(); });
+  tick_ = loop_->After(kTimeoutCheckInterval, [this] { Tick(); });
 }
 
 size_t RelayServer::busy() const {
--- a/src/transport/relay/relay_server.h
+++ b/src/transport/relay/relay_server.h
@@ -16,10 +16,10 @@
 class CallerConnection;
 class Metrics;
 
-//! Accepts callers and owns their connections. Not thread-safe.
+//! Accepts connections of callers and owns them. Not thread-safe.
 class RelayServer : private IoHandler {
  public:
-  //! Takes over the listening descriptor `fd`.
+  //! Takes ownership of the listening descriptor `fd`.
   RelayServer(EventLoop* loop,
               int fd,
               int max_connections,
@@ -30,28 +30,28 @@
   RelayServer(const RelayServer&) = delete;
   RelayServer& operator=(const RelayServer&) = delete;
 
-  //! Bounds of the configuration in force.
+  //! Sets the limits of the configuration in force.
   void SetLimits(const CallerLimits& limits) { limits_ = limits; }
   const CallerLimits& limits() const { return limits_; }
 
-  //! From now on each answer ends its connection.
+  //! From now on the connection is closed after each answer.
   void StartDraining() { draining_ = true; }
   bool draining() const { return draining_; }
 
-  //! No more callers are accepted.
+  //! Closes the listening descriptor; open connections go on.
   void StopAccepting();
 
-  //! Requests that are worked on.
+  //! Number of requests in progress.
   size_t busy() const;
   size_t connections() const { return connections_.size(); }
 
-  // For the connections:
+  // Called by the connections:
 
   std::unique_ptr<RequestTask> MakeTask(CallerConnection* connection,
                                         CallerRequest request);
   void OnBadRequest(int status);
   //! Calls `callback` after the handlers of this wake-up, unless the connection
-  //! is gone by then.
+  //! has been removed by then.
   void Defer(CallerConnection* connection, std::function<void()> callback);
   //! Destroys the connection after the handlers of this wake-up.
   void Remove(CallerConnection* connection);
--- a/src/transport/relay/relay_task.cpp
+++ b/src/transport/relay/relay_task.cpp
@@ -21,36 +21,40 @@
 
 namespace {
 
-//! A request waits for a share this long at most, and for at most this part of
-//! its objective: a look at the log takes some 10 ms, and a caller who is held
-//! longer has less time to come back.
-constexpr Millis kShareWait{200};
-constexpr double kShareWaitPart = 0.15;
-//! Looks at the log that it waits for. The first may have begun before the
-//! request came; the second has heard of it.
-constexpr int kShareLooks = 2;
+//! A request waits for a share for at most this time, and for at most this
+//! fraction of its route's objective: a poll of the log takes about 10 ms, and
+//! a caller that is held for longer has less time for a retry.
+constexpr Millis kMaxShareWait{200};
+constexpr double kMaxShareWaitFraction = 0.15;
+//! Polls of the log after which a waiting request is refused. The first may
+//! have begun before the request arrived; the second takes it into account.
+constexpr int kMaxSharePolls = 2;
 
-//! Time to connect. A dropped opening packet is resent after seconds, so
-//! dialling again is faster than waiting.
+//! A lost SYN is retransmitted only after seconds, so a new connection attempt
+//! is faster than waiting.
 constexpr Millis kConnectTimeout{300};
 
-//! Sent bytes without an acknowledgement from the endpoint's kernel.
-constexpr Millis kUnacknowledged{2500};
+//! Longest time for which sent bytes may lack an acknowledgement from the
+//! endpoint's kernel.
+constexpr Millis kUnacknowledgedTimeout{2500};
 
-//! An idle connection this old is not used for a request that may run only
-//! once: the endpoint may be closing it at this moment.
-constexpr Millis kMaxIdleOnce{4000};
+//! Longest idle time of a connection that is reused. It is shorter for requests
+//! that may run only once, as the endpoint may be closing an older connection
+//! at the same moment.
+constexpr Millis kMaxIdleNonRepeatable{4000};
 constexpr Millis kMaxIdle{60000};
 
-//! A repeatable request goes elsewhere when an answer is this many times later
-//! than predicted, within these bounds.
-constexpr int64_t kSilenceFactor = 4;
-constexpr Millis kLeastSilence{150};
-constexpr double kSilencePart = 0.4;
+//! A repeatable request is sent to another endpoint when the first byte of the
+//! answer takes longer than this multiple of the predicted time. That timeout
+//! is at most a fraction of the remaining time, but not below a minimum.
+constexpr int64_t kFirstByteTimeoutFactor = 4;
+constexpr Millis kMinFirstByteTimeout{150};
+constexpr double kMaxFirstByteTimeoutFraction = 0.4;
 
-//! Part of the caller's patience within which the first event must be
-//! predicted: the prediction is off by some tenths.
-constexpr double kPatiencePart = 0.85;
+//! A request is refused if its first event is predicted after more than this
+//! fraction of the route's event timeout, since predictions can be wrong by a
+//! few tenths.
+constexpr double kEventTimeoutFraction = 0.85;
 
 }  // namespace
 
@@ -69,11 +73,11 @@
   if (ticket_) {
     context_->board.OnAbandoned(&*ticket_);
   }
-  Settle();
-  context_->waiting.erase(this);
-  context_->loop->Cancel(&end_timer_);
-  context_->loop->Cancel(&share_timer_);
-  context_->loop->Cancel(&silence_timer_);
+  SettleReservation();
+  context_->waiting_for_share.erase(this);
+  context_->loop->Cancel(&deadline_timer_);
+  context_->loop->Cancel(&share_wait_timer_);
+  context_->loop->Cancel(&first_byte_timer_);
 }
 
 // --- Admission -------------------------------------------------------------
@@ -82,8 +86,8 @@
   if (!Admit()) {
     return;
   }
-  end_timer_ = context_->loop->After(ends_ - context_->loop->Now(),
-                                     [this] { OnTimeUp(); });
+  deadline_timer_ = context_->loop->After(deadline_ - context_->loop->Now(),
+                                          [this] { OnDeadline(); });
   ReserveOrWait();
 }
 
@@ -93,46 +97,49 @@
     return;
   }
   const Millis now = context_->loop->Now();
-  const int64_t most = prompt_->most_tokens();
-  const auto verdict = context_->shares.Reserve(now, organisation_->name, most);
+  const int64_t max_tokens = prompt_->most_tokens();
+  const auto verdict =
+      context_->shares.Reserve(now, organisation_->name, max_tokens);
   if (verdict == BudgetShares::Verdict::kShort) {
-    if (!context_->shares_can_grow() || share_looks_ >= kShareLooks ||
-        context_->shares.IsExhausted(now, organisation_->name, most)) {
+    if (!context_->shares_can_grow() || share_polls_ >= kMaxSharePolls ||
+        context_->shares.IsExhausted(now, organisation_->name, max_tokens)) {
       RefuseForShare();
       return;
     }
-    if (!waits_for_share_) {
-      waits_for_share_ = true;
-      context_->waiting.insert(this);
+    if (!waiting_for_share_) {
+      waiting_for_share_ = true;
+      context_->waiting_for_share.insert(this);
       const Millis wait = std::min(
-          {kShareWait, route_->objective.Scaled(kShareWaitPart), Remaining()});
-      share_timer_ = context_->loop->After(wait, [this] { RefuseForShare(); });
+          {kMaxShareWait, route_->objective.Scaled(kMaxShareWaitFraction),
+           Remaining()});
+      share_wait_timer_ =
+          context_->loop->After(wait, [this] { RefuseForShare(); });
       context_->on_share_short();
     }
     return;
   }
   if (verdict == BudgetShares::Verdict::kGranted) {
-    reserved_ = most;
+    reserved_ = max_tokens;
     context_->outage.OnGranted(now);
   }
-  context_->waiting.erase(this);
-  context_->loop->Cancel(&share_timer_);
-  waits_for_share_ = false;
+  context_->waiting_for_share.erase(this);
+  context_->loop->Cancel(&share_wait_timer_);
+  waiting_for_share_ = false;
   Attempt();
 }
 
 void RelayTask::OnSharesChanged() {
-  ++share_looks_;
+  ++share_polls_;
   ReserveOrWait();
 }
 
 void RelayTask::RefuseForShare() {
-  context_->waiting.erase(this);
-  context_->loop->Cancel(&share_timer_);
-  waits_for_share_ = false;
-  const int64_t most = prompt_->most_tokens();
+  context_->waiting_for_share.erase(this);
+  context_->loop->Cancel(&share_wait_timer_);
+  waiting_for_share_ = false;
+  const int64_t max_tokens = prompt_->most_tokens();
   if (context_->shares.IsExhausted(context_->loop->Now(), organisation_->name,
-                                   most)) {
+                                   max_tokens)) {
     Fail(402, "Payment Required", "budget_exhausted");
     return;
   }
@@ -143,41 +150,42 @@
   LogLine(context_->log, "share_short")
       .Add("id", request_id_)
       .Add("organisation", organisation_->name)
-      .Add("asked", most)
+      .Add("asked", max_tokens)
       .Add("available", view.available)
       .Add("held", view.held)
       .Add("undrawn", view.undrawn)
       .Add("log_age_ms", view.log_age)
       .Add("lost", context_->shares_can_grow() ? 0 : 1);
-  Refuse("no_share", kNoShareWait);
+  Refuse("no_share", kNoShareRetryAfter);
 }
 
 // --- Attempts --------------------------------------------------------------
 
 Millis RelayTask::Remaining() const {
-  return ends_ - context_->loop->Now();
+  return deadline_ - context_->loop->Now();
 }
 
 void RelayTask::Attempt() {
   const Millis now = context_->loop->Now();
-  Placement::Request wanted;
-  wanted.service = service_;
-  wanted.prompt = prompt_ ? &*prompt_ : nullptr;
-  wanted.chain = &chain_;
-  wanted.tried = &tried_;
-  const auto choice = context_->placement.Choose(now, wanted, context_->Draw());
+  Placement::Request placement_request;
+  placement_request.service = service_;
+  placement_request.prompt = prompt_ ? &*prompt_ : nullptr;
+  placement_request.chain = &prefix_hashes_;
+  placement_request.tried = &tried_endpoints_;
+  const auto choice = context_->placement.Choose(now, placement_request,
+                                                 context_->RandomFraction());
   if (!choice) {
     if (may_have_run_) {
       Fail(502, "Bad Gateway", "no_other_endpoint");
     } else {
-      Refuse("no_endpoint", kNoEndpointWait);
+      Refuse("no_endpoint", kNoEndpointRetryAfter);
     }
     return;
   }
   const EndpointState* state = context_->board.Find(choice->id, choice->born);
   CHECK(state != nullptr) << "event=chosen_endpoint_unknown";
   const Millis limit =
-      std::min(Remaining(), route_->patience.Scaled(kPatiencePart));
+      std::min(Remaining(), route_->patience.Scaled(kEventTimeoutFraction));
   if (!head_sent_ && !may_have_run_ && choice->predicted > limit) {
     Refuse("overloaded", choice->predicted - route_->objective);
     return;
@@ -188,8 +196,8 @@
 void RelayTask::Send(const Placement::Choice& choice,
                      const EndpointState& state) {
   const Millis now = context_->loop->Now();
-  tried_.insert(choice.hash);
-  ++dials_;
+  tried_endpoints_.insert(choice.hash);
+  ++connection_attempts_;
   LogLine(context_->log, "send")
       .Add("id", request_id_)
       .Add("endpoint", choice.id)
@@ -203,19 +211,19 @@
       .Add("left_ms", Remaining());
   ticket_ = context_->board.OnSent(now, state, choice.prompt_tokens,
                                    choice.predicted);
-  context_->memory.OnRead(now, chain_, choice.hash);
+  context_->prefix_cache_index.OnRead(now, prefix_hashes_, choice.hash);
   EndpointCall::Options options;
   options.endpoint = choice.hash;
   options.address = choice.address;
   options.expects_body = request_.method != "HEAD";
   options.connect_timeout = std::min(kConnectTimeout, Remaining());
-  options.unacknowledged = kUnacknowledged;
-  options.max_idle = route_->repeatable() ? kMaxIdle : kMaxIdleOnce;
+  options.unacknowledged_timeout = kUnacknowledgedTimeout;
+  options.max_idle = route_->repeatable() ? kMaxIdle : kMaxIdleNonRepeatable;
   call_ = std::make_unique<EndpointCall>(context_->loop, &context_->pool,
                                          options, this);
-  answer_kind_ = AttemptOutcome::kAnswered;
+  answer_outcome_ = AttemptOutcome::kAnswered;
   call_->Start(RequestHead(choice), request_.body);
-  ArmSilenceTimer(choice.predicted);
+  StartFirstByteTimer(choice.predicted);
 }
 
 std::string RelayTask::RequestHead(const Placement::Choice& choice) const {
@@ -224,24 +232,25 @@
       absl::StrCat(request_.method, " ", request_.target, " HTTP/1.1\r\n");
   const auto connection_names = request_.fields.Find("Connection");
   for (const HttpField& it : request_.fields.all()) {
-    const bool own =
+    const bool not_forwarded =
         std::any_of(dialect.not_forwarded.begin(), dialect.not_forwarded.end(),
                     [&](const std::string& name) {
                       return EqualsIgnoringCase(name, it.name);
                     });
-    const bool resumes =
+    const bool replaced_event_id =
         head_sent_ && EqualsIgnoringCase(it.name, dialect.last_event_id);
-    const bool named =
+    const bool in_connection_field =
         connection_names &&
         absl::StrContains(absl::AsciiStrToLower(AsAbsl(*connection_names)),
                           absl::AsciiStrToLower(it.name));
-    if (!own && !resumes && !named && !IsHopByHopField(it.name) &&
+    if (!not_forwarded && !replaced_event_id && !in_connection_field &&
+        !IsHopByHopField(it.name) &&
         !EqualsIgnoringCase(it.name, "Content-Length")) {
       absl::StrAppend(&head, it.name, ": ", it.value, "\r\n");
     }
   }
   absl::StrAppend(&head, dialect.deadline, ": ",
-                  std::max<int64_t>(1, (Remaining() + kEndMargin).count()),
+                  std::max<int64_t>(1, (Remaining() + kDeadlineMargin).count()),
                   "\r\n", dialect.expected_endpoint, ": ", choice.id, "\r\n");
   if (organisation_ != nullptr) {
     absl::StrAppend(&head, dialect.organisation, ": ", organisation_->name,
@@ -255,7 +264,7 @@
                     "\r\n");
   }
   if (head_sent_) {
-    absl::StrAppend(&head, dialect.last_event_id, ": ", cutter_.last_id(),
+    absl::StrAppend(&head, dialect.last_event_id, ": ", splitter_.last_id(),
                     "\r\n");
   }
   const bool framed = !request_.body->empty() ||
@@ -268,22 +277,25 @@
   return head;
 }
 
-void RelayTask::ArmSilenceTimer(Millis predicted) {
-  context_->loop->Cancel(&silence_timer_);
+void RelayTask::StartFirstByteTimer(Millis predicted) {
+  context_->loop->Cancel(&first_byte_timer_);
   if (!route_->repeatable() || !call_) {
     return;
   }
-  const Millis late = std::max(
-      kLeastSilence,
-      std::min(predicted * kSilenceFactor, Remaining().Scaled(kSilencePart)));
-  silence_timer_ = context_->loop->After(late, [this] { OnSilence(); });
+  const Millis timeout =
+      std::max(kMinFirstByteTimeout,
+               std::min(predicted * kFirstByteTimeoutFactor,
+                        Remaining().Scaled(kMaxFirstByteTimeoutFraction)));
+  first_byte_timer_ =
+      context_->loop->After(timeout, [this] { OnFirstByteTimeout(); });
 }
 
-void RelayTask::OnSilence() {
+void RelayTask::OnFirstByteTimeout() {
   if (!call_ || !ticket_ || ticket_->answered) {
     return;
   }
-  // The attempt counts as sent while the next one is weighed.
+  // `Progress` doesn't count the open attempt yet, but the decision on the next
+  // one has to.
   RequestProgress progress = Progress();
   if (call_->sent()) {
     ++progress.sends;
@@ -301,24 +313,25 @@
   progress.resumable = route_->resumable;
   progress.max_attempts = route_->max_attempts;
   progress.sends = sends_;
-  progress.dials = dials_;
+  progress.dials = connection_attempts_;
   progress.may_have_run = may_have_run_;
   progress.head_sent = head_sent_;
-  progress.event_sent = cutter_.count() > 0;
-  progress.retry_allowed = context_->Retries(service_->name).HasRetry();
-  progress.crashes_endpoints = context_->crashes.IsSuspect(content_);
+  progress.event_sent = splitter_.count() > 0;
+  progress.retry_allowed = context_->RetryBudgetFor(service_->name).HasRetry();
+  progress.crashes_endpoints = context_->crashes.IsSuspect(content_hash_);
   const auto usable =
       context_->board.Usable(context_->loop->Now(), service_->name);
-  progress.endpoint_left = std::any_of(
-      usable.begin(), usable.end(),
-      [&](const EndpointState* it) { return !tried_.contains(it->hash); });
+  progress.endpoint_left =
+      std::any_of(usable.begin(), usable.end(), [&](const EndpointState* it) {
+        return !tried_endpoints_.contains(it->hash);
+      });
   progress.remaining = Remaining();
   return progress;
 }
 
 void RelayTask::FinishAttempt(AttemptOutcome outcome,
                               const std::string& reason) {
-  context_->loop->Cancel(&silence_timer_);
+  context_->loop->Cancel(&first_byte_timer_);
   const bool sent = call_ != nullptr && call_->sent();
   if (outcome != AttemptOutcome::kNotSent && sent) {
     ++sends_;
@@ -330,7 +343,8 @@
   context_->congestion.OnAttempt(context_->loop->Now(),
                                  outcome == AttemptOutcome::kNotSent);
   if (outcome == AttemptOutcome::kBroken && ticket_) {
-    context_->crashes.OnBroken(context_->loop->Now(), content_, ticket_->hash);
+    context_->crashes.OnBroken(context_->loop->Now(), content_hash_,
+                               ticket_->hash);
   }
   if (outcome == AttemptOutcome::kNotSent && ticket_) {
     context_->crashes.OnEndpointDown(context_->loop->Now(), ticket_->hash);
@@ -344,11 +358,11 @@
         .Add("outcome", static_cast<int>(outcome))
         .AddQuoted("reason", reason)
         .Add("sent", sent)
-        .Add("events", cutter_.count());
+        .Add("events", splitter_.count());
   }
   ReportOutcome(outcome);
   call_.reset();
-  Step(StepAfterAttempt(Progress(), outcome), outcome);
+  TakeStep(StepAfterAttempt(Progress(), outcome), outcome);
 }
 
 void RelayTask::ReportOutcome(AttemptOutcome outcome) {
@@ -380,16 +394,16 @@
   ticket_.reset();
 }
 
-void RelayTask::Step(NextStep step, AttemptOutcome outcome) {
+void RelayTask::TakeStep(NextStep step, AttemptOutcome outcome) {
   switch (step) {
     case NextStep::kTryAnother:
     case NextStep::kResume:
       if (sends_ > 0) {
-        context_->Retries(service_->name).TakeRetry();
+        context_->RetryBudgetFor(service_->name).TakeRetry();
         context_->metrics->Count("retries_total");
       }
       buffered_.clear();
-      cutter_.Restart();
+      splitter_.Restart();
       Attempt();
       return;
     case NextStep::kDeliver:
@@ -402,7 +416,7 @@
     case NextStep::kRefuse:
       Refuse("endpoint_refused", outcome == AttemptOutcome::kRefused
                                      ? route_->objective.Scaled(0.5)
-                                     : kLeastRetryAfter);
+                                     : kMinRetryAfter);
       return;
     case NextStep::kBadGateway:
       Fail(502, "Bad Gateway", "endpoint_failed");
@@ -411,7 +425,7 @@
       Fail(504, "Gateway Timeout", "endpoint_silent");
       return;
     case NextStep::kBreakOff:
-      BreakOff("endpoint_broke_off");
+      AbortAnswer("endpoint_broke_off");
       return;
     case NextStep::kDrop:
       return;
--- a/src/transport/relay/relay_task.h
+++ b/src/transport/relay/relay_task.h
@@ -32,9 +32,9 @@
 struct Route;
 struct RoutedService;
 
-//! Carries one request through admission, budget, placement and its attempts,
-//! and relays the answer. What to do next is decided in `coordination`; this
-//! class does the input and output. Not thread-safe.
+//! Takes one request through admission, budget, placement and its attempts, and
+//! relays the answer. `coordination` decides on the next step; this class does
+//! the input and output. Not thread-safe.
 class RelayTask : public RequestTask, public EndpointCall::Observer {
  public:
   //! Precondition: context and connection outlive the task.
@@ -46,21 +46,25 @@
   void Start() override;
   void OnCallerDrained() override;
 
-  //! The share of its organisation may have grown.
+  //! Called after a poll of the log: the organisation's share may have grown.
   void OnSharesChanged();
 
-  //! Order among requests that wait: urgency, then arrival.
+  //! Sort key among waiting requests: priority, then arrival.
   std::pair<int, int64_t> wait_order() const {
-    return {rank_, request_.began.count()};
+    return {rank_, request_.first_byte_at.count()};
   }
 
  private:
   // Admission.
   bool Admit();
-  //! Whether the answer can be whole before this process ends.
-  bool FitsBeforeEnd() const;
+  //! Whether the answer can be complete before the process exits.
+  bool CanFinishBeforeExit() const;
+  //! Finds the organisation by its bearer key and sets the rank. Returns false
+  //! if a key is required and none is valid.
   bool FindOrganisation();
-  bool AdmitSize();
+  //! Selects the service by the weights of the route, reads the prompt's shape,
+  //! and refuses content that has crashed endpoints.
+  bool AdmitToService();
   void ReserveOrWait();
   void RefuseForShare();
 
@@ -68,10 +72,10 @@
   void Attempt();
   void Send(const Placement::Choice& choice, const EndpointState& state);
   std::string RequestHead(const Placement::Choice& choice) const;
-  void ArmSilenceTimer(Millis predicted);
-  void OnSilence();
+  void StartFirstByteTimer(Millis predicted);
+  void OnFirstByteTimeout();
   void FinishAttempt(AttemptOutcome outcome, const std::string& reason);
-  void Step(NextStep step, AttemptOutcome outcome);
+  void TakeStep(NextStep step, AttemptOutcome outcome);
   RequestProgress Progress() const;
   void ReportOutcome(AttemptOutcome outcome);
 
@@ -81,7 +85,7 @@
   void OnAnswerDone() override;
   void OnCallFailed(const absl::Status& status, bool sent) override;
   AttemptOutcome Classify(const HttpReader& answer) const;
-  bool StreamsNow() const;
+  bool IsStreamAnswer() const;
   void ForwardEvents(const std::string& bytes);
   void DeliverBuffered();
   void EndStream();
@@ -89,12 +93,12 @@
   // Own answers.
   void Refuse(const char* reason, Millis retry_after);
   void Fail(int status, const char* text, const char* reason);
-  void BreakOff(const char* reason);
-  void OnTimeUp();
-  Millis RetryAfter(Millis wanted) const;
+  void AbortAnswer(const char* reason);
+  void OnDeadline();
+  Millis RetryAfter(Millis base_delay) const;
   Millis Remaining() const;
 
-  void Settle();
+  void SettleReservation();
   void LogEnd(int status, const char* outcome, const std::string& reason);
 
   RelayContext* context_;
@@ -106,37 +110,37 @@
   const Organisation* organisation_ = nullptr;
   std::string request_id_;
   std::optional<PromptShape> prompt_;
-  std::vector<uint64_t> chain_;
-  uint64_t content_ = 0;  //!< Hash that recognizes the request when it returns.
-  Millis ends_;           //!< When the caller or the route gives up.
-  int rank_ = 0;
+  std::vector<uint64_t> prefix_hashes_;
+  uint64_t content_hash_ = 0;  //!< Recognizes repeats of the request.
+  Millis deadline_;            //!< Of the caller or the route.
+  int rank_ = 0;               //!< The lowest is the most urgent.
   bool finished_ = false;
 
   int64_t reserved_ = 0;
-  bool waits_for_share_ = false;
-  int share_looks_ = 0;  //!< Looks at the log while the request waited.
+  bool waiting_for_share_ = false;
+  int share_polls_ = 0;  //!< Polls of the log while the request waited.
 
   std::unique_ptr<EndpointCall> call_;
   std::optional<EndpointTicket> ticket_;
-  std::set<uint64_t> tried_;
+  std::set<uint64_t> tried_endpoints_;
   int sends_ = 0;
-  int dials_ = 0;
+  int connection_attempts_ = 0;
   bool may_have_run_ = false;
 
-  AttemptOutcome answer_kind_ = AttemptOutcome::kAnswered;
+  AttemptOutcome answer_outcome_ = AttemptOutcome::kAnswered;
   AnswerHead answer_;
   std::string buffered_;
   bool head_sent_ = false;
-  bool delivered_ = false;  //!< A good answer went out in one piece.
-  bool raw_ = false;        //!< The answer is not cut into events.
-  EventCutter cutter_;
+  bool delivered_ = false;  //!< A 2xx answer was sent from the buffer.
+  bool raw_ = false;        //!< The answer is not an event stream.
+  EventCutter splitter_;
   Millis first_event_at_;
   Millis last_event_at_;
-  Millis longest_pause_;  //!< Between two events.
+  Millis longest_event_gap_;  //!< Between two events of the stream.
 
-  EventLoop::TimerId end_timer_{};
-  EventLoop::TimerId share_timer_{};
-  EventLoop::TimerId silence_timer_{};
+  EventLoop::TimerId deadline_timer_{};
+  EventLoop::TimerId share_wait_timer_{};
+  EventLoop::TimerId first_byte_timer_{};
 };
 
 }  // namespace tamaracktrail
--- a/src/transport/relay/relay_task_admission.cpp
+++ b/src/transport/relay/relay_task_admission.cpp
@@ -18,7 +18,7 @@
   request_id_ = std::string(
       request_.fields.Find(dialect.request_id).value_or(std::string_view()));
   if (config_ == nullptr) {
-    Refuse("no_configuration", kNoConfigWait);
+    Refuse("no_configuration", kNoConfigRetryAfter);
     return false;
   }
   if (request_id_.empty() || request_.fields.Count(dialect.request_id) != 1) {
@@ -36,8 +36,8 @@
     Fail(401, "Unauthorized", "unknown_key");
     return false;
   }
-  if (context_->ends_at > Millis(0) && !FitsBeforeEnd()) {
-    Refuse("draining", kLeastRetryAfter);
+  if (context_->ends_at > Millis(0) && !CanFinishBeforeExit()) {
+    Refuse("draining", kMinRetryAfter);
     return false;
   }
   Millis allowed = route_->timeout;
@@ -46,11 +46,11 @@
   if (text && absl::SimpleAtoi(AsAbsl(*text), &deadline) && deadline > 0) {
     allowed = std::min(allowed, Millis(deadline));
   }
-  ends_ = request_.began + allowed - kEndMargin;
-  return AdmitSize();
+  deadline_ = request_.first_byte_at + allowed - kDeadlineMargin;
+  return AdmitToService();
 }
 
-bool RelayTask::FitsBeforeEnd() const {
+bool RelayTask::CanFinishBeforeExit() const {
   const Millis now = context_->loop->Now();
   return route_->kind == CallKind::kStream
              ? now <= context_->last_stream_at
@@ -68,7 +68,7 @@
     organisation_ = config_->FindByKey(std::string(field->substr(7)));
   }
   if (organisation_ != nullptr) {
-    // An organisation's rank goes before its routes' ranks.
+    // The organisation's priority precedes the route's priority.
     constexpr int kRouteRanks = 3;
     rank_ = organisation_->priority * kRouteRanks +
             std::min(route_->priority, kRouteRanks - 1);
@@ -76,34 +76,34 @@
   return organisation_ != nullptr || route_->is_public;
 }
 
-bool RelayTask::AdmitSize() {
+bool RelayTask::AdmitToService() {
   int total = 0;
   for (const Route::Part& it : route_->split) {
     total += std::max(0, it.weight);
   }
-  int at = static_cast<int>(context_->Draw() * total);
+  int remaining_weight = static_cast<int>(context_->RandomFraction() * total);
   for (const Route::Part& it : route_->split) {
     service_ = config_->FindService(it.service);
-    at -= it.weight;
-    if (at < 0) {
+    remaining_weight -= it.weight;
+    if (remaining_weight < 0) {
       break;
     }
   }
   if (service_ == nullptr) {
-    Refuse("no_service", kNoEndpointWait);
+    Refuse("no_service", kNoEndpointRetryAfter);
     return false;
   }
-  context_->Retries(service_->name).OnRequest();
+  context_->RetryBudgetFor(service_->name).OnRequest();
   prompt_ = context_->dialect.read_prompt(request_.fields);
   if (prompt_) {
-    chain_ = PrefixMemory::Chain(prompt_->parts);
+    prefix_hashes_ = PrefixMemory::Chain(prompt_->parts);
   }
-  content_ = StableHash(
+  content_hash_ = StableHash(
       *request_.body,
       StableHash(absl::StrCat(request_.method, " ", request_.target, " ",
                               organisation_ ? organisation_->name : "")));
-  if (context_->crashes.IsBlocked(content_)) {
-    Refuse("crashes_endpoints", kMostRetryAfter);
+  if (context_->crashes.IsBlocked(content_hash_)) {
+    Refuse("crashes_endpoints", kMaxRetryAfter);
     return false;
   }
   return true;
--- a/src/transport/relay/relay_task_answers.cpp
+++ b/src/transport/relay/relay_task_answers.cpp
@@ -20,12 +20,13 @@
 
 namespace {
 
-//! Answers up to this size are held until they are whole, so that a broken one
-//! can be replaced.
-constexpr size_t kHeldBytes = 1024 * 1024;
+//! Answers up to this size are buffered until they are complete, so that a
+//! truncated one can be replaced by the answer of another attempt.
+constexpr size_t kMaxBufferedAnswerBytes = 1024 * 1024;
 
-//! Callers honour a wait of up to a third of their time; a little less arrives.
-constexpr double kRetryAfterPart = 0.3;
+//! Callers honour a Retry-After of up to a third of their time. The fraction is
+//! smaller, as some of that time has passed when the answer arrives.
+constexpr double kRetryAfterFraction = 0.3;
 
 }  // namespace
 
@@ -59,18 +60,18 @@
         .Add("belongs_to", AsAbsl(*id));
     return false;
   }
-  answer_kind_ = Classify(answer);
+  answer_outcome_ = Classify(answer);
   if (ticket_) {
     context_->board.OnFirstByte(context_->loop->Now(), &*ticket_);
   }
-  context_->loop->Cancel(&silence_timer_);
+  context_->loop->Cancel(&first_byte_timer_);
   if (head_sent_) {
     return true;
   }
   answer_ = {};
   answer_.status = answer.status();
   answer_.reason = answer.reason();
-  answer_.last = context_->congestion.active();
+  answer_.close_connection = context_->congestion.active();
   for (const HttpField& it : answer.fields().all()) {
     if (!IsHopByHopField(it.name) &&
         !EqualsIgnoringCase(it.name, "Content-Length")) {
@@ -82,16 +83,16 @@
   return true;
 }
 
-bool RelayTask::StreamsNow() const {
+bool RelayTask::IsStreamAnswer() const {
   return route_->kind == CallKind::kStream &&
-         answer_kind_ == AttemptOutcome::kAnswered;
+         answer_outcome_ == AttemptOutcome::kAnswered;
 }
 
 void RelayTask::OnAnswerBody(std::string* body) {
-  if (StreamsNow() && !raw_) {
+  if (IsStreamAnswer() && !raw_) {
     const std::string bytes = std::move(*body);
     body->clear();
-    ForwardEvents(cutter_.Feed(bytes));
+    ForwardEvents(splitter_.Feed(bytes));
     return;
   }
   buffered_ += *body;
@@ -99,7 +100,7 @@
   if (head_sent_ && !buffered_.empty()) {
     connection_->WriteBody(buffered_);
     buffered_.clear();
-  } else if (buffered_.size() > kHeldBytes) {
+  } else if (buffered_.size() > kMaxBufferedAnswerBytes) {
     head_sent_ = true;
     connection_->BeginAnswer(answer_);
     connection_->WriteBody(buffered_);
@@ -120,7 +121,7 @@
     first_event_at_ = now;
     connection_->BeginAnswer(answer_);
   } else {
-    longest_pause_ = std::max(longest_pause_, now - last_event_at_);
+    longest_event_gap_ = std::max(longest_event_gap_, now - last_event_at_);
   }
   last_event_at_ = now;
   connection_->WriteBody(bytes);
@@ -136,12 +137,12 @@
 }
 
 void RelayTask::OnAnswerDone() {
-  if (head_sent_ && answer_kind_ != AttemptOutcome::kAnswered) {
-    // The endpoint that should go on with a stream did not.
-    FinishAttempt(answer_kind_, "the stream was not resumed");
+  if (head_sent_ && answer_outcome_ != AttemptOutcome::kAnswered) {
+    // The endpoint that was asked to resume the stream did not.
+    FinishAttempt(answer_outcome_, "the stream was not resumed");
     return;
   }
-  FinishAttempt(answer_kind_, "answer");
+  FinishAttempt(answer_outcome_, "answer");
 }
 
 void RelayTask::OnCallFailed(const absl::Status& status, bool sent) {
@@ -152,36 +153,38 @@
 void RelayTask::DeliverBuffered() {
   finished_ = true;
   delivered_ = answer_.status / 100 == 2;
-  buffered_ += cutter_.TakeRest();
-  context_->loop->Cancel(&end_timer_);
+  buffered_ += splitter_.TakeRest();
+  context_->loop->Cancel(&deadline_timer_);
   LogEnd(answer_.status, "delivered", "");
   connection_->Answer(answer_, buffered_);
 }
 
 void RelayTask::EndStream() {
   finished_ = true;
-  context_->loop->Cancel(&end_timer_);
-  connection_->WriteBody(cutter_.TakeRest());
+  context_->loop->Cancel(&deadline_timer_);
+  connection_->WriteBody(splitter_.TakeRest());
   LogEnd(answer_.status, "delivered", "");
   connection_->EndAnswer();
 }
 
-// --- Own answers -----------------------------------------------------------
+// --- Answers of this instance ----------------------------------------------
 
-Millis RelayTask::RetryAfter(Millis wanted) const {
-  // Returners are spread, so that they do not come in one wave.
-  const Millis spread = wanted.Scaled(0.75 + 0.5 * context_->Draw());
-  const Millis longest =
-      route_ == nullptr ? kMostRetryAfter : Remaining().Scaled(kRetryAfterPart);
-  return std::max(Millis(1), std::min({std::max(spread, kLeastRetryAfter),
-                                       longest, kMostRetryAfter}));
+Millis RelayTask::RetryAfter(Millis base_delay) const {
+  // Jitter spreads the retries, so that they don't arrive in one wave.
+  const Millis jittered =
+      base_delay.Scaled(0.75 + 0.5 * context_->RandomFraction());
+  const Millis max_delay = route_ == nullptr
+                               ? kMaxRetryAfter
+                               : Remaining().Scaled(kRetryAfterFraction);
+  return std::max(Millis(1), std::min({std::max(jittered, kMinRetryAfter),
+                                       max_delay, kMaxRetryAfter}));
 }
 
 void RelayTask::Refuse(const char* reason, Millis retry_after) {
   CHECK(!may_have_run_) << "event=refused_after_run id=" << request_id_;
   finished_ = true;
   call_.reset();
-  context_->loop->Cancel(&end_timer_);
+  context_->loop->Cancel(&deadline_timer_);
   const Millis wait = RetryAfter(retry_after);
   AnswerHead head;
   head.status = 503;
@@ -192,7 +195,7 @@
   if (!request_id_.empty()) {
     head.fields.Add(context_->dialect.request_id, request_id_);
   }
-  head.last = context_->SendsCallersElsewhere();
+  head.close_connection = context_->SendsCallersElsewhere();
   LogEnd(503, "refused", reason);
   connection_->Answer(head, "");
 }
@@ -200,7 +203,7 @@
 void RelayTask::Fail(int status, const char* text, const char* reason) {
   finished_ = true;
   call_.reset();
-  context_->loop->Cancel(&end_timer_);
+  context_->loop->Cancel(&deadline_timer_);
   AnswerHead head;
   head.status = status;
   head.reason = text;
@@ -211,15 +214,15 @@
   connection_->Answer(head, "");
 }
 
-void RelayTask::BreakOff(const char* reason) {
+void RelayTask::AbortAnswer(const char* reason) {
   finished_ = true;
   call_.reset();
-  context_->loop->Cancel(&end_timer_);
+  context_->loop->Cancel(&deadline_timer_);
   LogEnd(0, "broken_off", reason);
   connection_->BreakOff();
 }
 
-void RelayTask::OnTimeUp() {
+void RelayTask::OnDeadline() {
   const bool open = call_ != nullptr && call_->sent();
   may_have_run_ = may_have_run_ || open;
   if (ticket_) {
@@ -231,14 +234,14 @@
     }
   }
   call_.reset();
-  context_->waiting.erase(this);
-  context_->loop->Cancel(&share_timer_);
+  context_->waiting_for_share.erase(this);
+  context_->loop->Cancel(&share_wait_timer_);
   switch (StepAtTimeout(Progress(), open)) {
     case NextStep::kBreakOff:
-      BreakOff("time_up");
+      AbortAnswer("time_up");
       return;
     case NextStep::kRefuse:
-      Refuse("time_up", kLeastRetryAfter);
+      Refuse("time_up", kMinRetryAfter);
       return;
     default:
       Fail(504, "Gateway Timeout", "time_up");
@@ -246,20 +249,20 @@
   }
 }
 
-// --- Accounts --------------------------------------------------------------
+// --- Settlement and logging ------------------------------------------------
 
-void RelayTask::Settle() {
+void RelayTask::SettleReservation() {
   if (reserved_ == 0) {
     return;
   }
-  // Tokens count once an answer reaches the caller; a run that brought it
-  // nothing is not charged.
+  // Tokens are charged once an answer reaches the caller; a run whose answer
+  // did not reach the caller is not charged.
   int64_t spent = 0;
   if (head_sent_ || delivered_) {
     const int64_t output =
         service_->event_tokens > 0 && !raw_
             ? std::min(prompt_->max_output_tokens,
-                       cutter_.count() * service_->event_tokens)
+                       splitter_.count() * service_->event_tokens)
             : prompt_->max_output_tokens;
     spent = prompt_->prompt_tokens + output;
   }
@@ -282,11 +285,13 @@
   context_->metrics->Count(absl::StrCat("requests_total{outcome=\"", outcome,
                                         "\",reason=\"", reason, "\"}"));
   context_->metrics->Observe(
-      "request_ms", static_cast<double>((now - request_.began).count()));
+      "request_ms",
+      static_cast<double>((now - request_.first_byte_at).count()));
   if (first_event_at_ > Millis(0)) {
     context_->metrics->Observe(
         "first_event_ms",
-        static_cast<double>((first_event_at_ - request_.began).count()));
+        static_cast<double>(
+            (first_event_at_ - request_.first_byte_at).count()));
   }
   LogLine line(context_->log, "request_end");
   line.Add("id", request_id_)
@@ -296,12 +301,12 @@
       .Add("route", route_ ? route_->name : "")
       .Add("organisation", organisation_ ? organisation_->name : "")
       .Add("config", config_ ? config_->version() : 0)
-      .Add("ms", now - request_.began)
+      .Add("ms", now - request_.first_byte_at)
       .Add("sends", sends_)
-      .Add("events", cutter_.count());
+      .Add("events", splitter_.count());
   if (first_event_at_ > Millis(0)) {
-    line.Add("first_event_ms", first_event_at_ - request_.began)
-        .Add("longest_pause_ms", longest_pause_);
+    line.Add("first_event_ms", first_event_at_ - request_.first_byte_at)
+        .Add("longest_pause_ms", longest_event_gap_);
   }
 }
 
--- a/src/transport/relay/request_task.h
+++ b/src/transport/relay/request_task.h
@@ -9,20 +9,21 @@
 class CallerConnection;
 struct CallerRequest;
 
-//! Work on one request, from its last byte to the end of its answer. Destroying
-//! it ends the work: the caller has left or the answer is complete.
+//! Handles one request, from the receipt of its last byte to the end of its
+//! answer. It is destroyed when the answer is complete or the caller has
+//! disconnected, which cancels what is still in progress.
 class RequestTask {
  public:
   virtual ~RequestTask() = default;
 
-  //! Starts the work; may answer at once.
+  //! Starts the work; may answer before it returns.
   virtual void Start() = 0;
 
-  //! The caller has taken all that was written to it.
+  //! All output for the caller has been handed to the kernel.
   virtual void OnCallerDrained() = 0;
 };
 
-//! Makes the task of a request. The connection outlives the task.
+//! Creates the task for a request. The connection outlives the task.
 using RequestHandler =
     std::function<std::unique_ptr<RequestTask>(CallerConnection* connection,
                                                CallerRequest request)>;
--- a/src/transport/relay/simple_task.h
+++ b/src/transport/relay/simple_task.h
@@ -10,7 +10,7 @@
 
 namespace tamaracktrail {
 
-//! Answers a request at once with a status and a text. Not thread-safe.
+//! Answers a request immediately with a fixed status and body. Not thread-safe.
 class SimpleTask : public RequestTask {
  public:
   //! Precondition: the connection outlives the task.
--- a/tests/transport/relay_units_test.cpp
+++ b/tests/transport/relay_units_test.cpp
@@ -26,7 +26,7 @@
 namespace tamaracktrail {
 namespace {
 
-TEST(EventLoopTest, RunsTimersInOrderAndSkipsCancelledOnes) {
+TEST(EventLoopTest, TimersRunInDueOrderUnlessCancelled) {
   EventLoop loop;
   std::vector<int> ran;
   loop.After(Millis(20), [&] { ran.push_back(2); });
@@ -39,7 +39,7 @@
   EXPECT_EQ(ran, (std::vector<int>{1, 2}));
 }
 
-TEST(EventLogTest, NeverBlocksAndCountsWhatItDrops) {
+TEST(EventLogTest, FullPipeNeverBlocksAndDroppedLinesAreCounted) {
   EventLoop loop;
   int fds[2];
   ASSERT_EQ(pipe2(fds, O_NONBLOCK), 0);
@@ -64,10 +64,10 @@
   close(fds[1]);
 }
 
-//! Hears of one exchange.
-class Listener : public EndpointCall::Observer {
+//! Records the result of one exchange and then quits the loop.
+class RecordingObserver : public EndpointCall::Observer {
  public:
-  explicit Listener(EventLoop* loop) : loop_(loop) {}
+  explicit RecordingObserver(EventLoop* loop) : loop_(loop) {}
 
   bool OnAnswerHead(const HttpReader& answer) override {
     return answer.fields().Find("X-Id") == "own";
@@ -95,7 +95,7 @@
   absl::Status status_;
 };
 
-//! Writes fixed bytes to whoever connects, then ends the connection.
+//! Answers the first connection with fixed bytes and closes it.
 class RawServer : public IoHandler {
  public:
   RawServer(EventLoop* loop, std::string bytes)
@@ -139,91 +139,92 @@
 struct RawAnswer {
   const char* name;
   const char* bytes;
-  bool done;
+  bool succeeds;
   const char* body;
-  bool kept = false;
+  bool kept_alive = false;
 };
 
 class EndpointCallTest : public testing::TestWithParam<RawAnswer> {};
 
-TEST_P(EndpointCallTest, TakesOnlyItsOwnWholeAnswer) {
+TEST_P(EndpointCallTest, OnlyOwnCompleteAnswerSucceeds) {
   EventLoop loop;
   EndpointPool pool(&loop, [](uint64_t) {});
   RawServer server(&loop, GetParam().bytes);
-  Listener listener(&loop);
+  RecordingObserver observer(&loop);
   EndpointCall::Options options;
   options.endpoint = 1;
   options.address = server.address();
   options.connect_timeout = Millis(1000);
-  options.unacknowledged = Millis(1000);
+  options.unacknowledged_timeout = Millis(1000);
   options.max_idle = Millis(1000);
-  EndpointCall call(&loop, &pool, options, &listener);
+  EndpointCall call(&loop, &pool, options, &observer);
   call.Start("GET / HTTP/1.1\r\nHost: x\r\n\r\n",
              std::make_shared<const std::string>());
   loop.Run();
-  EXPECT_EQ(listener.done_, GetParam().done);
-  EXPECT_NE(listener.failed_, GetParam().done);
-  EXPECT_EQ(listener.body_, GetParam().body);
-  // Only a connection that brought this answer and nothing else is kept.
-  EXPECT_EQ(pool.size(), GetParam().kept ? 1U : 0U);
+  EXPECT_EQ(observer.done_, GetParam().succeeds);
+  EXPECT_NE(observer.failed_, GetParam().succeeds);
+  EXPECT_EQ(observer.body_, GetParam().body);
+  // Only a connection that carried a complete answer to this request, and no
+  // answer to another one, is kept.
+  EXPECT_EQ(pool.size(), GetParam().kept_alive ? 1U : 0U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     All,
     EndpointCallTest,
     testing::Values(
-        RawAnswer{"without_length", "HTTP/1.1 200 OK\r\nX-Id: own\r\n\r\nabc",
+        RawAnswer{"body_until_close", "HTTP/1.1 200 OK\r\nX-Id: own\r\n\r\nabc",
                   true, "abc"},
-        RawAnswer{"cut",
+        RawAnswer{"truncated_body",
                   "HTTP/1.1 200 OK\r\nX-Id: own\r\nContent-Length: 9\r\n\r\n"
                   "abc",
                   false, "abc"},
-        RawAnswer{"garbage", "no answer at all\r\n\r\n", false, ""},
-        RawAnswer{"nothing", "", false, ""},
-        RawAnswer{"foreign_first",
+        RawAnswer{"malformed_head", "no answer at all\r\n\r\n", false, ""},
+        RawAnswer{"closed_without_answer", "", false, ""},
+        RawAnswer{"mismatched_then_own",
                   "HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 2\r\n\r\n"
                   "noHTTP/1.1 200 OK\r\nX-Id: own\r\nContent-Length: 3\r\n\r\n"
                   "yes",
                   true, "yes"},
-        RawAnswer{"only_foreign",
+        RawAnswer{"mismatched_only",
                   "HTTP/1.1 200 OK\r\nX-Id: other\r\nContent-Length: 2\r\n\r\n"
                   "no",
                   false, ""},
-        RawAnswer{"interim",
+        RawAnswer{"interim_then_final",
                   "HTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\n"
                   "X-Id: own\r\nContent-Length: 2\r\n\r\nok",
                   true, "ok", true}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(EndpointCallTest, ARefusedConnectionSendsNothing) {
+TEST(EndpointCallTest, RefusedConnectionFailsWithNothingSent) {
   EventLoop loop;
   EndpointPool pool(&loop, [](uint64_t) {});
-  Listener listener(&loop);
+  RecordingObserver observer(&loop);
   EndpointCall::Options options;
   options.address = FreeAddress();
   options.connect_timeout = Millis(1000);
-  options.unacknowledged = Millis(1000);
-  EndpointCall call(&loop, &pool, options, &listener);
+  options.unacknowledged_timeout = Millis(1000);
+  EndpointCall call(&loop, &pool, options, &observer);
   call.Start("GET / HTTP/1.1\r\n\r\n", nullptr);
   loop.Run();
-  EXPECT_TRUE(listener.failed_);
-  EXPECT_FALSE(listener.sent_);
+  EXPECT_TRUE(observer.failed_);
+  EXPECT_FALSE(observer.sent_);
 }
 
-TEST(PeerGossipTest, ReportsArriveAndDamageIsIgnored) {
+TEST(PeerGossipTest, MalformedDatagramIsIgnoredAndReportArrives) {
   EventLoop loop;
   const std::string address_a = FreeAddress();
   const std::string address_b = FreeAddress();
-  std::vector<PeerGossip::Report> heard;
+  std::vector<PeerGossip::Report> received;
   PeerGossip a(&loop, *BindUdp(address_a), [](const auto&) {});
   PeerGossip b(&loop, *BindUdp(address_b), [&](const auto& report) {
-    heard.push_back(report);
+    received.push_back(report);
     loop.Quit();
   });
   const int other = *BindUdp(FreeAddress());
-  const auto to = *ParseSocketAddress(address_b);
-  ASSERT_EQ(sendto(other, "junk", 4, 0, reinterpret_cast<const sockaddr*>(&to),
-                   sizeof(to)),
+  const auto target = *ParseSocketAddress(address_b);
+  ASSERT_EQ(sendto(other, "junk", 4, 0,
+                   reinterpret_cast<const sockaddr*>(&target), sizeof(target)),
             4);
   close(other);
   PeerGossip::Report report;
@@ -235,34 +236,37 @@
   a.Send(report);
   loop.After(Millis(2000), [&] { loop.Quit(); });
   loop.Run();
-  ASSERT_EQ(heard.size(), 1U);
-  EXPECT_EQ(heard[0], report);
+  ASSERT_EQ(received.size(), 1U);
+  EXPECT_EQ(received[0], report);
 }
 
-TEST(PeerExchangeTest, PassesOnWhatThePeerHas) {
+TEST(PeerExchangeTest, StoredConfigIsFetchedAndMissingEndpointsAreNot) {
   EventLoop loop;
   EventLog log(&loop, open("/dev/null", O_WRONLY));
   Metrics metrics;
   const auto [fd_a, address_a] = ListenOnFreePort();
   const auto [fd_b, address_b] = ListenOnFreePort();
-  const PeerExchange::Records known = {{"k", "v"}};
-  PeerExchange::Records got;
-  PeerExchange a(&loop, &log, &metrics, fd_a,
-                 {[&] { return known; }, [] { return PeerExchange::Records(); },
-                  [](const auto&) {}, [](const auto&) {}});
+  const PeerExchange::Records stored = {{"k", "v"}};
+  PeerExchange::Records fetched;
+  PeerExchange a(
+      &loop, &log, &metrics, fd_a,
+      {[&] { return stored; }, [] { return PeerExchange::Records(); },
+       [](const auto&) {}, [](const auto&) {}});
   PeerExchange b(&loop, &log, &metrics, fd_b,
                  {[] { return PeerExchange::Records(); },
                   [] { return PeerExchange::Records(); },
                   [&](const auto& records) {
-                    got = records;
+                    fetched = records;
                     loop.Quit();
                   },
-                  [](const auto&) { ADD_FAILURE() << "nothing to pass on"; }});
+                  [](const auto&) {
+                    ADD_FAILURE() << "the peer has no endpoint records";
+                  }});
   b.AskEndpoints(address_a);
   b.AskConfig(address_a);
   loop.After(Millis(2000), [&] { loop.Quit(); });
   loop.Run();
-  EXPECT_EQ(got, known);
+  EXPECT_EQ(fetched, stored);
 }
 
 }  // namespace
