--- a/src/coordination/rate_meter.h
+++ b/src/coordination/rate_meter.h
@@ -12,16 +12,18 @@
  public:
   explicit RateMeter(Millis time_constant) : time_constant_(time_constant) {}
 
+  //! Precondition: `now` is not before that of an earlier call.
   void Add(Millis now, int64_t amount);
 
-  //! Amount a second. Precondition: `now` does not run backwards.
+  //! Returns the amount per second. Precondition: `now` is not before that of
+  //! the last `Add`.
   double PerSecond(Millis now) const;
 
  private:
   double Decay(Millis now) const;
 
   Millis time_constant_;
-  Millis updated_;
+  Millis updated_at_;
   double per_second_ = 0;
 };
 
--- a/src/coordination/share_outage.cpp
+++ b/src/coordination/share_outage.cpp
@@ -4,13 +4,13 @@
 
 namespace {
 
-//! A log that is lost for less may only have been slow to answer once.
-constexpr Millis kLeastLoss{700};
+//! A shorter loss of the log may be a single slow answer.
+constexpr Millis kMinLossDuration{700};
 
-//! Refusals below this rate, or below this part of the requests that need a
-//! share, harm fewer callers than moving all of them would.
-constexpr double kLeastRefusedPerSecond = 1;
-constexpr double kLeastRefusedPart = 0.5;
+//! Refusals below this rate, or below this fraction of the requests that need a
+//! share, affect fewer callers than sending all to other instances would.
+constexpr double kMinRefusedPerSecond = 1;
+constexpr double kMinRefusedFraction = 0.5;
 
 }  // namespace
 
@@ -24,10 +24,10 @@
     lost_since_ = now;
   }
   const double refused = refused_.PerSecond(now);
-  active_ =
-      active_ ||
-      (now - lost_since_ >= kLeastLoss && refused >= kLeastRefusedPerSecond &&
-       refused >= kLeastRefusedPart * (refused + granted_.PerSecond(now)));
+  active_ = active_ || (now - lost_since_ >= kMinLossDuration &&
+                        refused >= kMinRefusedPerSecond &&
+                        refused >= kMinRefusedFraction *
+                                       (refused + granted_.PerSecond(now)));
 }
 
 }  // namespace tamaracktrail
--- a/src/coordination/share_outage.h
+++ b/src/coordination/share_outage.h
@@ -6,31 +6,34 @@
 
 namespace tamaracktrail {
 
-//! Tells whether callers had better go to another instance, since this one
-//! cannot draw shares of budgets and turns requests away for want of them.
+//! Decides whether callers are sent to other instances because this one can't
+//! raise its shares of budgets and refuses requests for insufficient shares.
 //!
-//! Load pattern: callers of one organisation keep coming to an instance that is
-//! cut off from the log, or whose link is too crowded for it to follow the log,
-//! while the others still have shares. Not thread-safe.
+//! Load pattern: callers of one organisation keep sending to an instance that
+//! has no connection to the log, or whose link is too congested to keep up with
+//! the log, while other instances still have shares. Not thread-safe.
 class ShareOutage {
  public:
-  //! A request that needs a share got it, or was refused for want of it.
+  //! A request that needs a share got one, or was refused because the share was
+  //! insufficient.
   void OnGranted(Millis now) { granted_.Add(now, 1); }
   void OnRefused(Millis now) { refused_.Add(now, 1); }
 
-  //! Called at least each second; `lost` where the log cannot be followed.
-  //! Precondition: `now` does not run backwards.
+  //! Updates the decision; to be called at least once per second. `lost`: the
+  //! log can't be read up to its end.
+  //! Precondition: `now` is not before that of an earlier call.
   void OnTick(Millis now, bool lost);
 
-  //! Lasts until the log can be followed again.
+  //! Whether callers are sent to other instances. Once true, it stays so until
+  //! the log can be read up to its end again.
   bool active() const { return active_; }
 
  private:
-  static constexpr Millis kMemory{1000};
+  static constexpr Millis kTimeConstant{1000};
 
-  RateMeter granted_{kMemory};
-  RateMeter refused_{kMemory};
-  Millis lost_since_;  //!< 0 where the log can be followed.
+  RateMeter granted_{kTimeConstant};
+  RateMeter refused_{kTimeConstant};
+  Millis lost_since_;  //!< 0 while the log is not lost.
   bool active_ = false;
 };
 
--- a/src/state/organisation.h
+++ b/src/state/organisation.h
@@ -13,7 +13,7 @@
   std::string name;
   std::vector<std::string> keys;
   int priority = 0;                //!< 0 is the most urgent.
-  std::optional<int64_t> prepaid;  //!< Tokens; none where it isn't limited.
+  std::optional<int64_t> prepaid;  //!< Tokens; nullopt if not limited.
 
   friend bool operator==(const Organisation&, const Organisation&) = default;
 };
--- a/tests/coordination/share_outage_test.cpp
+++ b/tests/coordination/share_outage_test.cpp
@@ -5,18 +5,19 @@
 namespace tamaracktrail {
 namespace {
 
-//! Plays `seconds` of requests each 50 ms, of which a part is refused.
-Millis Play(ShareOutage* outage,
-            Millis now,
-            int seconds,
-            double refused_part,
-            bool lost) {
-  double owed = 0;
+//! Runs one request every 50 ms for `seconds`, refuses a fraction of them, and
+//! returns the time of the end.
+Millis RunRequests(ShareOutage* outage,
+                   Millis now,
+                   int seconds,
+                   double refused_fraction,
+                   bool lost) {
+  double refusals_due = 0;
   for (const Millis end = now + Millis(seconds * 1000); now < end;
        now = now + Millis(50)) {
-    owed += refused_part;
-    if (owed >= 1) {
-      owed -= 1;
+    refusals_due += refused_fraction;
+    if (refusals_due >= 1) {
+      refusals_due -= 1;
       outage->OnRefused(now);
     } else {
       outage->OnGranted(now);
@@ -26,34 +27,35 @@
   return now;
 }
 
-TEST(ShareOutageTest, OneOrganisationThatIsTurnedAwayWhileTheLogIsLost) {
+TEST(ShareOutageTest, IsActiveFromRefusalsDuringALossUntilTheLogIsBack) {
   ShareOutage outage;
-  Millis now = Play(&outage, Millis(1000), 2, 0, true);
+  Millis now = RunRequests(&outage, Millis(1000), 2, 0, true);
   EXPECT_FALSE(outage.active());
-  now = Play(&outage, now, 2, 0.7, true);
+  now = RunRequests(&outage, now, 2, 0.7, true);
   EXPECT_TRUE(outage.active());
-  // No caller comes any more; that says nothing of the shares.
+  // Without further requests nothing is known of the shares, so the outage
+  // continues.
   outage.OnTick(now + Millis(5000), true);
   EXPECT_TRUE(outage.active());
   outage.OnTick(now + Millis(5100), false);
   EXPECT_FALSE(outage.active());
 }
 
-TEST(ShareOutageTest, RefusalsAloneMoveNobody) {
+TEST(ShareOutageTest, IsInactiveOnRefusalsWhileTheLogIsReachable) {
   ShareOutage outage;
-  Play(&outage, Millis(1000), 5, 1, false);
+  RunRequests(&outage, Millis(1000), 5, 1, false);
   EXPECT_FALSE(outage.active());
 }
 
-TEST(ShareOutageTest, FewRefusalsMoveNobody) {
+TEST(ShareOutageTest, IsInactiveOnFewRefusals) {
   ShareOutage outage;
-  Play(&outage, Millis(1000), 5, 0.1, true);
+  RunRequests(&outage, Millis(1000), 5, 0.1, true);
   EXPECT_FALSE(outage.active());
 }
 
-TEST(ShareOutageTest, AShortLossMovesNobody) {
+TEST(ShareOutageTest, IsInactiveOnAShortLoss) {
   ShareOutage outage;
-  Millis now = Play(&outage, Millis(1000), 3, 1, false);
+  Millis now = RunRequests(&outage, Millis(1000), 3, 1, false);
   outage.OnTick(now, true);
   outage.OnTick(now + Millis(500), true);
   EXPECT_FALSE(outage.active());
