--- a/src/coordination/budget_shares.h
+++ b/src/coordination/budget_shares.h
@@ -72,8 +72,9 @@
   //! that arrive until callers have stopped sending to this instance.
   void BeginDrain() { draining_ = true; }
 
-  //! Applies a record of the log. Precondition: records are applied in log
-  //! order, and all records of predecessors before the first batch is planned.
+  //! Applies a record of the log. Precondition: outside a listing, records are
+  //! applied in log order; all records of predecessors are applied before the
+  //! first batch is planned.
   void Apply(const BudgetClaim& claim);
   void Apply(const ShareLock& lock);
 
