--- a/src/coordination/coordinator_status.h
+++ b/src/coordination/coordinator_status.h
@@ -8,7 +8,8 @@
 
 namespace tamaracktrail {
 
-//! What an instance knows of itself and its peers, for status and metrics.
+//! Snapshot of an instance's state and its view of its peers, for status
+//! answers and metrics.
 struct CoordinatorStatus {
   struct PeerStatus {
     std::string address;
@@ -36,10 +37,10 @@
   bool draining = false;
   size_t charges_in_custody = 0;
   size_t open_sweeps = 0;
-  int64_t stuck_tokens = 0;     //!< In shares of exited incarnations.
-  size_t backlog = 0;           //!< Records not confirmed yet.
-  int append_failures = 0;      //!< Consecutive, the worst stream's.
-  uint64_t fencing_number = 0;  //!< 0 where this instance is not the placer.
+  int64_t stuck_tokens = 0;     //!< Held in shares of exited incarnations.
+  size_t backlog = 0;           //!< Records that are not confirmed yet.
+  int append_failures = 0;      //!< Most consecutive ones on any stream.
+  uint64_t fencing_number = 0;  //!< 0 if this instance is not the placer.
   std::vector<PeerStatus> peers;
   std::vector<ShardStatus> shards;
 };
--- a/src/coordination/entry_notice.h
+++ b/src/coordination/entry_notice.h
@@ -16,36 +16,37 @@
 
 struct Catalog;
 
-//! A charge of this entry became safe, or will not.
+//! Result for a charge of this entry. It is safe once another instance or the
+//! log holds it as well; if that fails, it is voided and its answer withheld.
 struct SettledNotice {
   uint64_t attempt = 0;
   bool safe = false;
 };
 
-//! Whether an attempt's content may run.
+//! Decision on whether an attempt may run its content.
 struct ContentVerdict {
   uint64_t attempt = 0;
   ResultCode code = ResultCode::kOk;
 };
 
-//! A newer configuration is in force.
+//! Catalog of a newer configuration that is now in force.
 struct CatalogNotice {
   std::shared_ptr<const Catalog> catalog;
 };
 
-//! Peers have probed endpoints.
+//! Results of probes that a peer has made.
 struct NewsNotice {
   std::vector<EndpointObservation> observations;
 };
 
-//! Endpoints that this instance is to probe for its peers, and how many
-//! instances send to this data centre's endpoints.
+//! Endpoints that this instance has to probe on behalf of its peers, and the
+//! number of instances that send requests to this data centre's endpoints.
 struct ProbeDuty {
   std::vector<std::string> endpoints;
   int instances = 1;
 };
 
-//! An accepted order to be sent to its endpoint.
+//! An accepted order that has to be sent to its endpoint.
 struct OrderNotice {
   Order order;
 };
--- a/src/coordination/outbox.h
+++ b/src/coordination/outbox.h
@@ -10,11 +10,11 @@
 
 namespace tamaracktrail {
 
-//! What a state machine wants done: messages to instances and records to
-//! append. Not thread-safe.
+//! Output of a state machine: messages to send to instances and records to
+//! append to the log. Not thread-safe.
 struct Outbox {
   struct Letter {
-    uint64_t to = 0;  //!< Incarnation.
+    uint64_t to = 0;  //!< Incarnation of the receiver.
     PeerMessage message;
   };
 
--- a/src/coordination/placement_spec.h
+++ b/src/coordination/placement_spec.h
@@ -5,13 +5,13 @@
 
 namespace tamaracktrail {
 
-//! How many endpoints of a data centre are to have a model, adapter or version
-//! loaded.
+//! Number of endpoints of a data centre that should have a model, adapter or
+//! version loaded.
 struct PlacementSpec {
   std::string name;
   std::string service;
   std::string data_centre;
-  std::string target;  //!< Model, adapter or version.
+  std::string target;  //!< Name of the model, adapter or version.
   int min_copies = 1;
   int max_copies = 1;
 
--- a/src/coordination/placer.cpp
+++ b/src/coordination/placer.cpp
@@ -8,7 +8,8 @@
 
 constexpr char kRolePrefix[] = "role:";
 
-bool Has(const Placer::EndpointState& endpoint, const std::string& target) {
+bool HasLoaded(const Placer::EndpointState& endpoint,
+               const std::string& target) {
   return std::find(endpoint.loaded.begin(), endpoint.loaded.end(), target) !=
          endpoint.loaded.end();
 }
@@ -39,17 +40,17 @@
     const auto copies = std::count_if(
         endpoints.begin(), endpoints.end(), [&](const EndpointState& it) {
           return it.up && it.service == placement.service &&
-                 Has(it, placement.target);
+                 HasLoaded(it, placement.target);
         });
-    const auto wanted_it = demand.find(placement.name);
-    const int asked = wanted_it == demand.end() ? 0 : wanted_it->second;
+    const auto demand_it = demand.find(placement.name);
+    const int requested = demand_it == demand.end() ? 0 : demand_it->second;
     const int wanted =
-        std::clamp(asked, placement.min_copies, placement.max_copies);
+        std::clamp(requested, placement.min_copies, placement.max_copies);
     std::optional<Order> order;
     if (copies < wanted) {
-      order = Load(now, placement, endpoints);
+      order = ChooseLoad(now, placement, endpoints);
     } else if (copies > wanted && !placement.target.starts_with(kRolePrefix)) {
-      order = Unload(now, placement, endpoints, static_cast<int>(copies));
+      order = ChooseUnload(now, placement, endpoints, static_cast<int>(copies));
     }
     if (order.has_value()) {
       pending_[order->endpoint] = {*order, now};
@@ -65,7 +66,7 @@
          it->second.order == order;
 }
 
-bool Placer::Busy(Millis now, const EndpointState& endpoint) const {
+bool Placer::IsBusy(Millis now, const EndpointState& endpoint) const {
   const bool in_handover =
       !endpoint.checks_fencing && now < term_since_ + options_.handover_wait;
   auto it = pending_.find(endpoint.name);
@@ -77,23 +78,24 @@
     return false;
   }
   const Order& order = it->second.order;
-  const bool done = Has(endpoint, order.target) == (order.action != "unload");
+  const bool done =
+      HasLoaded(endpoint, order.target) == (order.action != "unload");
   return !done;
 }
 
-std::optional<Order> Placer::Load(
+std::optional<Order> Placer::ChooseLoad(
     Millis now,
     const PlacementSpec& placement,
     const std::vector<EndpointState>& endpoints) const {
   const EndpointState* best = nullptr;
   for (const EndpointState& it : endpoints) {
-    const bool fits =
-        it.up && it.service == placement.service && !Has(it, placement.target);
+    const bool fits = it.up && it.service == placement.service &&
+                      !HasLoaded(it, placement.target);
     if (!fits) {
       continue;
     }
-    if (Busy(now, it)) {
-      return std::nullopt;  // One order of a placement at a time.
+    if (IsBusy(now, it)) {
+      return std::nullopt;  // One pending order per placement.
     }
     if (best == nullptr || it.loaded.size() < best->loaded.size()) {
       best = &it;
@@ -107,24 +109,25 @@
                role ? "role" : "load", placement.target};
 }
 
-std::optional<Order> Placer::Unload(Millis now,
-                                    const PlacementSpec& placement,
-                                    const std::vector<EndpointState>& endpoints,
-                                    int copies) const {
+std::optional<Order> Placer::ChooseUnload(
+    Millis now,
+    const PlacementSpec& placement,
+    const std::vector<EndpointState>& endpoints,
+    int copies) const {
   const EndpointState* best = nullptr;
   for (const EndpointState& it : endpoints) {
     if (!it.up || it.service != placement.service ||
-        !Has(it, placement.target)) {
+        !HasLoaded(it, placement.target)) {
       continue;
     }
-    // An order of a former term may still take effect where fencing numbers
-    // are ignored, so one copy more is left there.
+    // Endpoints that ignore fencing numbers may still execute an order of an
+    // earlier term, so one spare copy is kept there.
     const int spare = it.checks_fencing ? 0 : 1;
     if (copies - 1 < std::max(placement.min_copies, 1) + spare ||
         it.in_flight > 0) {
       continue;
     }
-    if (Busy(now, it)) {
+    if (IsBusy(now, it)) {
       return std::nullopt;
     }
     best = &it;
--- a/src/coordination/placer.h
+++ b/src/coordination/placer.h
@@ -13,21 +13,24 @@
 
 namespace tamaracktrail {
 
-//! Decides which orders the endpoints of one data centre need, from the
-//! declared placements, the demand and what the endpoints report as loaded.
+//! Decides which load, unload and role orders the endpoints of one data centre
+//! need, from the declared placements, the demand and what the endpoints report
+//! as loaded.
 //!
-//! It acts only for the holder of the data centre's term. Orders are desired
-//! state: each is recorded, sent once its record is accepted, and read back
-//! from the endpoint's reports. Not thread-safe.
+//! Only the holder of the data centre's term creates orders. An order states
+//! the desired state: it is recorded, sent once its record is accepted, and
+//! complete when the endpoint's reports show its effect. Not thread-safe.
 class Placer {
  public:
   struct Options {
-    Millis order_timeout{20000};  //!< Then a missing effect is ordered again.
-    Millis handover_wait{5000};   //!< From a new term to its first order to an
-                                  //!< endpoint that ignores fencing numbers.
+    //! An order without visible effect may be repeated after this time.
+    Millis order_timeout{20000};
+    //! Time from the start of a term to its first order to an endpoint that
+    //! ignores fencing numbers.
+    Millis handover_wait{5000};
   };
 
-  //! One endpoint of the data centre as it reports itself.
+  //! State of one endpoint of the data centre, as reported by the endpoint.
   struct EndpointState {
     std::string name;
     std::string service;
@@ -40,36 +43,41 @@
   Placer(std::string data_centre, Options options)
       : data_centre_(std::move(data_centre)), options_(options) {}
 
-  //! This instance holds the term with this fencing number, or (nullopt) holds
-  //! none.
+  //! Sets the fencing number of the term that this instance holds; nullopt if
+  //! it holds none. A change discards all pending orders.
   void SetTerm(Millis now, std::optional<uint64_t> fencing_number);
 
-  //! Orders to record now. `demand` is the number of copies that the load calls
-  //! for, by placement.
+  //! Returns the orders to record now. `demand` is the number of copies that
+  //! the load requires, by placement.
   std::vector<Order> Decide(Millis now,
                             const std::vector<PlacementSpec>& placements,
                             const std::vector<EndpointState>& endpoints,
                             const std::map<std::string, int>& demand);
 
-  //! Whether an accepted order may still be sent.
+  //! Whether an accepted order may still be sent: its term is current and no
+  //! other order to its endpoint has followed.
   bool MaySend(const Order& order) const;
 
   std::optional<uint64_t> fencing_number() const { return fencing_number_; }
 
  private:
+  //! The latest order to an endpoint.
   struct Pending {
     Order order;
     Millis since;
   };
 
-  bool Busy(Millis now, const EndpointState& endpoint) const;
-  std::optional<Order> Load(Millis now,
-                            const PlacementSpec& placement,
-                            const std::vector<EndpointState>& endpoints) const;
-  std::optional<Order> Unload(Millis now,
-                              const PlacementSpec& placement,
-                              const std::vector<EndpointState>& endpoints,
-                              int copies) const;
+  //! Whether the endpoint may not get an order now, because it is in a handover
+  //! or its latest order has neither taken effect nor timed out.
+  bool IsBusy(Millis now, const EndpointState& endpoint) const;
+  std::optional<Order> ChooseLoad(
+      Millis now,
+      const PlacementSpec& placement,
+      const std::vector<EndpointState>& endpoints) const;
+  std::optional<Order> ChooseUnload(Millis now,
+                                    const PlacementSpec& placement,
+                                    const std::vector<EndpointState>& endpoints,
+                                    int copies) const;
 
   std::string data_centre_;
   Options options_;
