--- a/src/coordination/coordinator.cpp
+++ b/src/coordination/coordinator.cpp
@@ -21,7 +21,9 @@
       control_(codec, ControlFold(options_.loads_per_minute)),
       control_writer_(self.incarnation, codec, options_.ledger.writer),
       custody_(self.incarnation, options_.custody),
-      content_(self.incarnation, options_.content_wait, &control_.fold()),
+      content_guard_(self.incarnation,
+                     options_.trial_read_back_timeout,
+                     &control_.fold()),
       placer_(options_.data_centre, options_.placer) {
   CHECK_GT(options_.shards, 0u);
   for (uint32_t i = 0; i < options_.shards; ++i) {
@@ -37,11 +39,11 @@
 }
 
 void Coordinator::RefreshRoles(Millis now) const {
-  if (now == roles_at_) {
+  if (now == roles_updated_at_) {
     return;
   }
-  roles_at_ = now;
-  std::vector<uint64_t> live = membership_.Candidates(now, Idle());
+  roles_updated_at_ = now;
+  std::vector<uint64_t> live = membership_.Candidates(now, ExcludedFromRoles());
   if (live == candidates_ && !keepers_.empty()) {
     return;
   }
@@ -63,7 +65,7 @@
 }
 
 bool Coordinator::Serving(Millis now, uint32_t shard) const {
-  return !Idle() && KeeperOf(now, shard) == self_.incarnation;
+  return !ExcludedFromRoles() && KeeperOf(now, shard) == self_.incarnation;
 }
 
 // Messages.
@@ -76,12 +78,12 @@
     return;
   }
   std::visit([&](const auto& it) { Handle(now, wall, from, it); }, message);
-  Deliver(now, wall);
+  DeliverLocalMessages(now, wall);
 }
 
-void Coordinator::Deliver(Millis now, Millis wall) {
-  while (!local_.empty()) {
-    std::vector<Outbox::Letter> local = std::exchange(local_, {});
+void Coordinator::DeliverLocalMessages(Millis now, Millis wall) {
+  while (!local_messages_.empty()) {
+    std::vector<Outbox::Letter> local = std::exchange(local_messages_, {});
     for (const Outbox::Letter& it : local) {
       std::visit(
           [&](const auto& message) {
@@ -90,14 +92,14 @@
           it.message);
     }
   }
-  TellSettled();
+  ReportSettledCharges();
 }
 
-void Coordinator::Collect(LedgerShard& shard, Outbox& outbox) {
-  shard.TakeRecords(outbox);
+void Coordinator::DispatchShardOutbox(LedgerShard& shard, Outbox& outbox) {
+  shard.AppendRecords(outbox);
   for (Outbox::Letter& it : outbox.letters) {
     const bool own = it.to == self_.incarnation;
-    (own ? local_ : letters_).push_back(std::move(it));
+    (own ? local_messages_ : outgoing_messages_).push_back(std::move(it));
   }
   outbox.letters.clear();
 }
@@ -115,17 +117,17 @@
   if (peer == nullptr || !Membership::LocalTime(*peer, it.sent_at)) {
     return;
   }
-  NewsNotice news;
+  NewsNotice reports;
   for (const EndpointNews& item : it.endpoints) {
     EndpointObservation seen;
     seen.endpoint = item.endpoint;
     seen.health = static_cast<EndpointHealth>(item.health);
     seen.load = item.load;
     seen.as_of = *Membership::LocalTime(*peer, it.sent_at) - item.age;
-    news.observations.push_back(std::move(seen));
+    reports.observations.push_back(std::move(seen));
   }
-  if (!news.observations.empty()) {
-    notices_.push_back(std::move(news));
+  if (!reports.observations.empty()) {
+    notices_.push_back(std::move(reports));
   }
 }
 
@@ -136,7 +138,7 @@
   Outbox outbox;
   LedgerShard& shard = *shards_[ShardOf(it.organisation)];
   shard.OnReserve(now, wall, it, outbox);
-  Collect(shard, outbox);
+  DispatchShardOutbox(shard, outbox);
 }
 
 void Coordinator::Handle(Millis, Millis, uint64_t, const ReserveReply& it) {
@@ -161,16 +163,16 @@
   if (it.charge.holder == self_.incarnation) {
     shard.OnSettle(now, it, outbox);
   }
-  // A repeat of a charge that the log has needs no custody.
+  // A repeated charge that the log already has needs no custody.
   if (it.charge.holder != self_.incarnation ||
       shard.keeper().HoldsCharge(it.charge.attempt)) {
     custody_.Hold(now, it, outbox);
   }
-  Collect(shard, outbox);
+  DispatchShardOutbox(shard, outbox);
 }
 
 void Coordinator::Handle(Millis, Millis, uint64_t from, const SettleReply& it) {
-  // This instance's own word does not make a charge safe.
+  // A reply of this instance to itself does not make a charge safe.
   if (from != self_.incarnation) {
     custody_.OnHeldElsewhere(it.attempt);
   }
@@ -179,7 +181,7 @@
 void Coordinator::Handle(Millis, Millis, uint64_t, const ChargeConfirmed& it) {
   Outbox outbox;
   custody_.OnConfirmed(it.attempt, outbox);
-  AppendCustody(outbox);
+  DispatchLedgerOutbox(outbox);
 }
 
 void Coordinator::Handle(Millis now,
@@ -189,7 +191,7 @@
   Outbox outbox;
   LedgerShard& shard = *shards_[ShardOf(it.organisation)];
   shard.OnReservationEnd(now, it, outbox);
-  Collect(shard, outbox);
+  DispatchShardOutbox(shard, outbox);
 }
 
 void Coordinator::Handle(Millis, Millis, uint64_t, const RecordsNote& it) {
@@ -207,10 +209,10 @@
   }
   OnExitEvidence(now, it.holder, "a peer has evidence of the exit");
   Outbox outbox;
-  outbox.Send(from,
-              OrphanReport{it.holder, self_.incarnation, OwnOrphans(it.holder),
-                           custody_.ChargesOf(it.holder)});
-  AppendCustody(outbox);
+  outbox.Send(
+      from, OrphanReport{it.holder, self_.incarnation, OwnKeptShares(it.holder),
+                         custody_.ChargesOf(it.holder)});
+  DispatchLedgerOutbox(outbox);
 }
 
 void Coordinator::Handle(Millis now,
@@ -222,7 +224,7 @@
       Handle(now, wall, from, charge);
     }
   }
-  sweep_.OnReport(it);
+  exit_sweep_.OnReport(it);
 }
 
 void Coordinator::Handle(Millis,
@@ -230,7 +232,8 @@
                          uint64_t from,
                          const ConfigRequest& it) {
   if (config_version_ > it.newer_than) {
-    letters_.push_back({from, ConfigReply{config_version_, configuration_}});
+    outgoing_messages_.push_back(
+        {from, ConfigReply{config_version_, configuration_}});
   }
 }
 
@@ -239,7 +242,7 @@
 }
 
 void Coordinator::Handle(Millis, Millis, uint64_t, const CrashNotice& it) {
-  content_.OnNotice(it.crash);
+  content_guard_.OnNotice(it.crash);
 }
 
 void Coordinator::Handle(Millis,
@@ -247,18 +250,18 @@
                          uint64_t from,
                          const ReservationQuery& it) {
   for (const uint64_t attempt : it.attempts) {
-    // Silence is the answer for any attempt that may have a charge.
-    const auto ended = ended_.find(attempt);
-    if (ended != ended_.end()) {
+    // No reply is sent for an attempt that may have a charge.
+    const auto ended = ended_attempts_.find(attempt);
+    if (ended != ended_attempts_.end()) {
       Outbox outbox;
       outbox.Send(from, ReservationEnd{ended->second.organisation, "", attempt,
                                        from, false});
-      AppendCustody(outbox);
+      DispatchLedgerOutbox(outbox);
     }
   }
 }
 
-// The log.
+// Log input.
 
 void Coordinator::OnLogEntries(Millis now,
                                const std::string& stream,
@@ -279,36 +282,37 @@
     }
     return;
   }
-  // After the exit is on its way, peers may release this instance's empty
-  // shares; that concerns it no more.
-  if (leaving_) {
+  // Once this instance's exit record is queued, peers may release its empty
+  // shares. A shard that applied such a release would stop the process.
+  if (exit_queued_) {
     return;
   }
   for (auto& shard : shards_) {
     if (shard->stream() == stream) {
       Outbox outbox;
       shard->OnEntries(now, entries, at_end, outbox);
-      Collect(*shard, outbox);
+      DispatchShardOutbox(*shard, outbox);
     }
   }
 }
 
 void Coordinator::OnControlApplied(Millis now, const AppliedBatch& batch) {
-  control_since_snapshot_ += batch.batch.records.size();
+  control_records_since_snapshot_ += batch.batch.records.size();
   for (size_t i = 0; i < batch.batch.records.size(); ++i) {
     const Record& record = batch.batch.records[i];
     if (const auto* exit = std::get_if<Exit>(&record)) {
-      CHECK(exit->incarnation != self_.incarnation || leaving_)
+      CHECK(exit->incarnation != self_.incarnation || exit_queued_)
           << "this instance was recorded as exited while it runs";
       const auto member = control_.fold().members().find(exit->incarnation);
-      // Only its own data centre can account for what it granted.
+      // Only the exited instance's own data centre can account for the
+      // reservations that it granted.
       if (member != control_.fold().members().end() &&
           member->second.data_centre == options_.data_centre) {
         OnExitEvidence(now, exit->incarnation, exit->evidence);
       }
     }
     if (std::holds_alternative<ControlSnapshot>(record)) {
-      control_since_snapshot_ = 0;
+      control_records_since_snapshot_ = 0;
     }
     const auto* order = std::get_if<Order>(&record);
     const bool accepted = batch.verdicts[i] == FoldVerdict::kAccepted;
@@ -356,8 +360,8 @@
   reservations_[request.attempt] =
       OpenReservation{request.organisation, keeper, 0, request.tokens};
   const bool own = keeper == self_.incarnation;
-  (own ? local_ : letters_).push_back({keeper, request});
-  Deliver(now, wall);
+  (own ? local_messages_ : outgoing_messages_).push_back({keeper, request});
+  DeliverLocalMessages(now, wall);
 }
 
 void Coordinator::EndReservation(Millis now, const ReservationEnd& end) {
@@ -367,25 +371,26 @@
   }
   const OpenReservation open = it->second;
   reservations_.erase(it);
-  ended_[end.attempt] = {open.organisation, now};
+  ended_attempts_[end.attempt] = {open.organisation, now};
   const bool exited = membership_.Exited(open.keeper);
   const std::vector<uint64_t> live = membership_.LivePeers(now);
   const bool reachable =
       open.keeper == self_.incarnation ||
       std::find(live.begin(), live.end(), open.keeper) != live.end();
   Outbox outbox;
-  // What was reserved under an exited holder comes free with the next sweep: a
-  // return that overtakes a release would take what others account for.
+  // Reservations of an exited holder are freed by its next exit sweep. A return
+  // that reaches the log before the release would include tokens that other
+  // instances still account for.
   if (!exited) {
-    ReservationEnd letter = end;
-    letter.holder = open.keeper;
-    outbox.Send(open.keeper, letter);
+    ReservationEnd message = end;
+    message.holder = open.keeper;
+    outbox.Send(open.keeper, message);
   }
   if (end.abandon && !reachable) {
     outbox.Append(Abandon{end.organisation, end.key, end.attempt});
   }
-  AppendCustody(outbox);
-  Deliver(now, Millis());
+  DispatchLedgerOutbox(outbox);
+  DeliverLocalMessages(now, Millis());
 }
 
 void Coordinator::Settle(Millis now, const SettleRequest& request) {
@@ -394,25 +399,25 @@
   if (request.charge.holder == self_.incarnation) {
     LedgerShard& shard = *shards_[ShardOf(request.charge.organisation)];
     shard.OnSettle(now, request, outbox);
-    Collect(shard, outbox);
+    DispatchShardOutbox(shard, outbox);
   }
   const std::vector<uint64_t> peers = membership_.LivePeers(now);
   custody_.Settle(now, request, peers, outbox);
-  AppendCustody(outbox);
-  Deliver(now, Millis());
+  DispatchLedgerOutbox(outbox);
+  DeliverLocalMessages(now, Millis());
 }
 
 void Coordinator::Withdraw(Millis now, const Charge& charge) {
   Outbox outbox;
   custody_.Withdraw(charge, membership_.LivePeers(now), outbox);
-  AppendCustody(outbox);
+  DispatchLedgerOutbox(outbox);
 }
 
 void Coordinator::Note(const std::string& organisation, Record record) {
   shards_[ShardOf(organisation)]->writer().Add(std::move(record));
 }
 
-void Coordinator::AppendCustody(Outbox& outbox) {
+void Coordinator::DispatchLedgerOutbox(Outbox& outbox) {
   for (Record& record : outbox.records) {
     std::visit(
         [&](auto& it) {
@@ -429,53 +434,54 @@
   outbox.records.clear();
   for (Outbox::Letter& it : outbox.letters) {
     const bool own = it.to == self_.incarnation;
-    (own ? local_ : letters_).push_back(std::move(it));
+    (own ? local_messages_ : outgoing_messages_).push_back(std::move(it));
   }
   outbox.letters.clear();
 }
 
-// Content that has crashed endpoints.
+// Content that crashes endpoints.
 
 void Coordinator::CheckContent(Millis now,
                                uint64_t attempt,
                                const std::string& content) {
   Outbox outbox;
-  content_.Check(now, attempt, content, outbox);
-  AppendControl(outbox);
+  content_guard_.Check(now, attempt, content, outbox);
+  DispatchControlOutbox(outbox);
 }
 
 void Coordinator::ReportCrash(Millis now,
                               uint64_t attempt,
                               const Crash& crash) {
   Outbox outbox;
-  content_.OnCrash(now, attempt, crash, membership_.LivePeers(now), outbox);
-  AppendControl(outbox);
+  content_guard_.OnCrash(now, attempt, crash, membership_.LivePeers(now),
+                         outbox);
+  DispatchControlOutbox(outbox);
 }
 
 void Coordinator::ReportContentEnd(uint64_t attempt,
                                    const std::string& content,
-                                   bool well) {
+                                   bool succeeded) {
   Outbox outbox;
-  content_.OnEnd(attempt, content, well, outbox);
-  AppendControl(outbox);
+  content_guard_.OnEnd(attempt, content, succeeded, outbox);
+  DispatchControlOutbox(outbox);
 }
 
-void Coordinator::AppendControl(Outbox& outbox) {
+void Coordinator::DispatchControlOutbox(Outbox& outbox) {
   for (Record& it : outbox.records) {
     control_writer_.Add(std::move(it));
   }
   for (Outbox::Letter& it : outbox.letters) {
-    letters_.push_back(std::move(it));
+    outgoing_messages_.push_back(std::move(it));
   }
-  for (const ContentVerdict& it : content_.TakeVerdicts()) {
+  for (const ContentVerdict& it : content_guard_.TakeVerdicts()) {
     notices_.push_back(it);
   }
 }
 
-// Results.
+// Output.
 
 std::vector<Outbox::Letter> Coordinator::TakeLetters() {
-  return std::exchange(letters_, {});
+  return std::exchange(outgoing_messages_, {});
 }
 
 std::vector<Coordinator::AppendOrder> Coordinator::TakeAppends(Millis now,
@@ -497,16 +503,16 @@
 }
 
 std::vector<uint64_t> Coordinator::TakeExited() {
-  return std::exchange(exited_now_, {});
+  return std::exchange(newly_exited_, {});
 }
 
 std::vector<std::pair<std::string, Heartbeat>> Coordinator::TakeHeartbeats(
     Millis now) {
   std::vector<std::pair<std::string, Heartbeat>> out;
   for (const std::string& address : membership_.Due(now)) {
-    Heartbeat heartbeat =
-        membership_.MakeHeartbeat(now, address, config_version_, Idle());
-    heartbeat.endpoints = own_news_;
+    Heartbeat heartbeat = membership_.MakeHeartbeat(
+        now, address, config_version_, ExcludedFromRoles());
+    heartbeat.endpoints = own_probe_reports_;
     out.emplace_back(address, std::move(heartbeat));
   }
   return out;
@@ -517,7 +523,7 @@
   reads[ControlStreamName()] = control_.read_offset();
   for (const auto& shard : shards_) {
     const bool shares = shard->view().fold().HeldBy(self_.incarnation) > 0;
-    if (shares || shard->Needed(Serving(now, shard->number()))) {
+    if (shares || shard->NeedsRead(Serving(now, shard->number()))) {
       reads[shard->stream()] = shard->view().read_offset();
     }
   }
@@ -533,9 +539,9 @@
   out.joined = joined();
   out.draining = draining_;
   out.charges_in_custody = custody_.size();
-  out.open_sweeps = sweep_.open();
+  out.open_sweeps = exit_sweep_.open();
   out.backlog = control_writer_.backlog();
-  out.append_failures = control_writer_.failures();
+  out.append_failures = control_writer_.consecutive_failures();
   out.fencing_number = placer_.fencing_number().value_or(0);
   const std::vector<uint64_t> live = membership_.LivePeers(now);
   for (const auto& [address, peer] : membership_.peers()) {
@@ -564,7 +570,7 @@
     }
     out.backlog += it.backlog;
     out.append_failures =
-        std::max(out.append_failures, shard->writer().failures());
+        std::max(out.append_failures, shard->writer().consecutive_failures());
     out.shards.push_back(it);
   }
   return out;
--- a/src/coordination/coordinator.h
+++ b/src/coordination/coordinator.h
@@ -25,12 +25,13 @@
 
 struct Catalog;
 
-//! Everything an instance agrees on with others: membership, configuration,
-//! ledger shards, custody of charges, exits and placement.
+//! State machine for everything an instance coordinates with others:
+//! membership, configuration, ledger shards, custody of charges, exits and
+//! placement.
 //!
-//! Pure: messages, log entries and the time go in, letters, appends and notices
-//! come out. Whatever an input causes is collected until the Take functions are
-//! called. Not thread-safe.
+//! It does no I/O and reads no clock: messages, log entries and the time are
+//! its inputs; messages, appends and notices are its outputs. Outputs are
+//! collected until the Take functions are called. Not thread-safe.
 class Coordinator {
  public:
   struct Options {
@@ -38,18 +39,22 @@
     uint32_t shards = 8;
     size_t loads_per_minute = 60;
     uint64_t control_snapshot_records = 2000;
-    Millis settle{1500};        //!< From the start to taking part, unless all
-                                //!< listed peers are heard from before.
-    Millis content_wait{3000};  //!< Longest wait for a trial's read-back.
-    Millis resweep{60000};      //!< Between sweeps of one exited holder.
-    size_t probers = 2;         //!< Instances that probe one endpoint.
+    //! Startup wait: time from the first tick until the instance becomes ready,
+    //! unless all known peers are heard from earlier.
+    Millis settle{1500};
+    //! Longest wait until a trial's record is read back from the log.
+    Millis trial_read_back_timeout{3000};
+    //! Time between exit sweeps of one holder that still has shares.
+    Millis resweep{60000};
+    size_t probers_per_endpoint = 2;
     LedgerShard::Options ledger;
     Membership::Options membership;
     ChargeCustody::Options custody;
     Placer::Options placer;
   };
 
-  //! A payload to append to a stream; answered by OnAppended.
+  //! A payload to append to a stream. The caller reports the result with
+  //! OnAppended.
   struct AppendOrder {
     std::string stream;
     std::string payload;
@@ -59,7 +64,7 @@
   Coordinator(InstanceId self, Options options, const BatchCodec* codec);
   ~Coordinator();
 
-  // Events from other instances.
+  // Input from other instances.
 
   //! Precondition: the transport has authenticated `from` as the sender.
   void OnMessage(Millis now,
@@ -67,86 +72,106 @@
                  uint64_t from,
                  const PeerMessage& message);
 
-  //! The process of `incarnation` has ended: its address refuses connections
-  //! or answers as another incarnation. A timeout is no evidence.
+  //! Reports that the process of `incarnation` has ended: its address refuses
+  //! connections or answers as another incarnation. A timeout is not evidence
+  //! of an exit.
   void OnExitEvidence(Millis now,
                       uint64_t incarnation,
                       const std::string& evidence);
 
-  // Events from the log.
+  // Input from the log.
 
+  //! Applies entries of `stream`, in ascending order. `at_end`: the log has no
+  //! entries after them.
   void OnLogEntries(Millis now,
                     const std::string& stream,
                     std::span<const LogEntry> entries,
                     bool at_end);
+  //! Result of an append from TakeAppends. `ok`: the log has stored it for
+  //! certain.
   void OnAppended(Millis now, const std::string& stream, bool ok);
 
-  // Requests of this process's entry.
+  // Requests of the entry in this process.
 
+  //! Requests a reservation from the keeper of the organisation's shard.
   void Reserve(Millis now, Millis wall, const ReserveRequest& request);
+  //! Ends a reservation without a charge. Has no effect if the attempt has no
+  //! open reservation.
   void EndReservation(Millis now, const ReservationEnd& end);
+  //! Ends the attempt's reservation with a charge; answered by a SettledNotice.
   void Settle(Millis now, const SettleRequest& request);
+  //! Voids a charge whose answer was not delivered completely after all.
   void Withdraw(Millis now, const Charge& charge);
+  //! Queues a record for the organisation's ledger shard.
   void Note(const std::string& organisation, Record record);
+  //! Asks whether an attempt may run its content; answered by a ContentVerdict.
   void CheckContent(Millis now, uint64_t attempt, const std::string& content);
+  //! Records that the attempt's endpoint crashed, and asks whether the attempt
+  //! may be repeated; answered by a ContentVerdict.
   void ReportCrash(Millis now, uint64_t attempt, const Crash& crash);
-  //! The attempt ended, `well` where its answer was delivered whole; ends its
-  //! trial, if it had one.
+  //! Ends the attempt's trial, if it had one. `succeeded`: the complete answer
+  //! was delivered.
   void ReportContentEnd(uint64_t attempt,
                         const std::string& content,
-                        bool well);
-  //! What the entry's own probes and queues show.
-  void ReportEndpoints(std::vector<EndpointNews> news,
+                        bool succeeded);
+  //! Replaces the results of the entry's own probes, the endpoints' states and
+  //! the copies that the load calls for, by placement.
+  void ReportEndpoints(std::vector<EndpointNews> reports,
                        std::vector<Placer::EndpointState> states,
                        std::map<std::string, int> demand);
 
-  // Time and life.
+  // Time, start and shutdown.
 
+  //! Runs all periodic work. Call it several times a second.
   void OnTick(Millis now, Millis wall);
+  //! See Membership::SetSeeds.
   void SetSeeds(const std::vector<std::string>& addresses);
 
-  //! Stops being a keeper and returns shares.
+  //! Gives up this instance's roles and returns its shares.
   void Drain();
 
-  //! Nothing is left to settle, return or append.
+  //! Whether nothing is left to settle, return or append.
   bool Drained() const;
 
-  //! Whether this instance answers for the charge of an attempt.
+  //! Whether this instance is responsible for the charge of an attempt, as its
+  //! keeper or in custody.
   bool HoldsCharge(uint64_t attempt) const;
 
-  //! Appends the graceful exit; call once when Drained(), then wait for
-  //! Drained() again.
+  //! Queues the record of this instance's graceful exit. Call it once, when
+  //! Drained(); then wait for Drained() again.
   void Leave();
 
-  // Results.
+  // Output. Each Take function returns what has collected since its last call.
 
   std::vector<Outbox::Letter> TakeLetters();
   std::vector<AppendOrder> TakeAppends(Millis now, Millis wall);
   std::vector<EntryNotice> TakeNotices();
-  //! Incarnations that have exited: their connections are to be dropped, with
-  //! whatever they still hold unread.
+  //! Incarnations that have exited. The transport has to drop their connections
+  //! together with any data not yet read from them.
   std::vector<uint64_t> TakeExited();
-  //! Joined instances of the data centre that are not heard from, by address:
-  //! the transport tries to connect to them to learn of their exit.
+  //! Joined instances of the data centre that are not among the live peers, by
+  //! address. The transport tries to connect to them to detect their exit.
   std::map<std::string, uint64_t> Silent(Millis now) const;
-  //! Heartbeats that are due, by address.
+  //! Heartbeats that are due, with the address to send each to.
   std::vector<std::pair<std::string, Heartbeat>> TakeHeartbeats(Millis now);
 
-  //! Streams to read, and the offset to read each from.
+  //! Streams to read now, each with the offset to read from.
   std::map<std::string, uint64_t> Reads(Millis now) const;
 
   //! Version of the configuration in force; never decreases.
   uint64_t config_version() const { return config_version_; }
   bool joined() const;
 
-  //! Whether this instance takes part: it has joined, has a configuration and
-  //! had time to hear from its peers. Before that its entry gets no catalog.
+  //! Whether this instance can take roles and serve: it has joined, has a
+  //! configuration, and has heard from all known peers or completed the startup
+  //! wait. Until then its entry gets no catalog.
   bool ready() const { return ready_; }
   const Membership& membership() const { return membership_; }
   const ControlFold& control() const { return control_.fold(); }
   const LedgerShard& shard(uint32_t number) const { return *shards_[number]; }
   CoordinatorStatus Status(Millis now) const;
 
+  //! Number of the ledger shard that holds the organisation's records.
   uint32_t ShardOf(const std::string& organisation) const;
 
   static std::string ControlStreamName() { return "control"; }
@@ -154,17 +179,18 @@
  private:
   struct OpenReservation {
     std::string organisation;
-    uint64_t keeper = 0;  //!< Asked.
-    uint64_t holder = 0;  //!< Granted by; 0 while it is asked for.
+    uint64_t keeper = 0;  //!< Incarnation that the request was sent to.
+    uint64_t holder = 0;  //!< Incarnation that granted it; 0 until then.
     int64_t tokens = 0;
   };
 
-  struct Ended {
+  //! An attempt whose reservation ended without a charge.
+  struct EndedAttempt {
     std::string organisation;
     Millis at;
   };
 
-  //! A charge of the custody that this instance appends itself.
+  //! A charge in custody that this instance appends to the log itself.
   struct CustodyTicket {
     uint32_t shard = 0;
     uint64_t ticket = 0;
@@ -194,28 +220,42 @@
   template <class Other>
   void Handle(Millis, Millis, uint64_t, const Other&) {}
 
-  void Deliver(Millis now, Millis wall);
-  void TellSettled();
-  void Collect(LedgerShard& shard, Outbox& outbox);
-  //! Takes roles anew where the set of candidates has changed.
+  //! Handles messages that this instance has sent to itself, including those
+  //! that their handling sends in turn.
+  void DeliverLocalMessages(Millis now, Millis wall);
+  void ReportSettledCharges();
+  //! Appends all records of `outbox` to `shard` and queues its messages.
+  void DispatchShardOutbox(LedgerShard& shard, Outbox& outbox);
+  //! Recomputes the keepers if the set of candidates has changed.
   void RefreshRoles(Millis now) const;
   uint64_t KeeperOf(Millis now, uint32_t shard) const;
+  //! Whether this instance is the keeper of `shard` in its data centre.
   bool Serving(Millis now, uint32_t shard) const;
+  //! Other instances of the data centre that have joined and not exited.
   std::vector<uint64_t> SweepMembers() const;
-  std::vector<KeptShare> OwnOrphans(uint64_t holder) const;
+  //! Tokens under the share of `holder` that this instance still accounts for:
+  //! charges in custody and open reservations.
+  std::vector<KeptShare> OwnKeptShares(uint64_t holder) const;
   void OnControlApplied(Millis now, const AppliedBatch& batch);
   void AdoptConfiguration(uint64_t version, const Configuration& configuration);
-  void CatchUpConfiguration(Millis now);
-  void AppendControl(Outbox& outbox);
+  //! Requests the configuration from a peer that has a newer one.
+  void RequestNewerConfiguration(Millis now);
+  //! Appends all records of `outbox` to the control stream, queues its messages
+  //! and passes content verdicts on to the entry.
+  void DispatchControlOutbox(Outbox& outbox);
   void TickCustody(Millis now);
   void TickSweeps(Millis now);
   void TickShards(Millis now, Millis wall);
   void TickPlacer(Millis now);
-  void TickProbeDuty(Millis now);
-  void StartSweeps(Millis now);
-  void AppendCustody(Outbox& outbox);
+  void TickProbeAssignment(Millis now);
+  void StartDueSweeps(Millis now);
+  //! Appends each record of `outbox` to the shard of its organisation, with a
+  //! ticket for each charge, and queues the messages.
+  void DispatchLedgerOutbox(Outbox& outbox);
+  //! Queues the join record on the first tick, then decides when this instance
+  //! becomes ready.
   void JoinFleet(Millis now);
-  bool Idle() const { return draining_ || !ready_; }
+  bool ExcludedFromRoles() const { return draining_ || !ready_; }
   void MarkExited(Millis now, uint64_t incarnation);
 
   InstanceId self_;
@@ -224,42 +264,43 @@
   Membership membership_;
   StreamView<ControlFold> control_;
   LogWriter control_writer_;
-  uint64_t control_since_snapshot_ = 0;
+  uint64_t control_records_since_snapshot_ = 0;
   std::vector<std::unique_ptr<LedgerShard>> shards_;
   ChargeCustody custody_;
-  ExitSweep sweep_;
-  ContentGuard content_;
+  ExitSweep exit_sweep_;
+  ContentGuard content_guard_;
   Placer placer_;
   std::map<uint64_t, std::string> exit_evidence_;
-  std::map<uint64_t, Millis> swept_at_;
+  std::map<uint64_t, Millis> last_sweep_at_;
   std::map<uint64_t, OpenReservation> reservations_;  //!< By attempt.
   std::vector<CustodyTicket> custody_tickets_;
-  std::map<uint64_t, Ended> ended_;  //!< Without a charge, by attempt.
-  std::vector<EndpointNews> own_news_;
+  std::map<uint64_t, EndedAttempt> ended_attempts_;  //!< By attempt.
+  std::vector<EndpointNews> own_probe_reports_;
   std::vector<Placer::EndpointState> endpoint_states_;
   std::map<std::string, int> demand_;
-  uint64_t duty_version_ = 0;  //!< Configuration that the duty is of.
-  uint64_t duty_roles_ = 0;    //!< And count of role changes.
-  // Roles follow from the candidates alone and are worked out when those
-  // change, since each takes a hash a candidate.
-  mutable Millis roles_at_{-1};
+  // Configuration version and role_changes_ at the last probe assignment.
+  uint64_t assignment_config_version_ = 0;
+  uint64_t assignment_role_changes_ = 0;
+  // Roles depend on the candidates alone. They are cached until the candidates
+  // change, since each role costs one hash per candidate.
+  mutable Millis roles_updated_at_{-1};
   mutable std::vector<uint64_t> candidates_;
   mutable std::vector<uint64_t> keepers_;  //!< By shard.
   mutable uint64_t role_changes_ = 0;
-  Millis peer_config_asked_;
+  Millis config_requested_at_;
   bool control_caught_up_ = false;
-  Millis term_asked_;
+  Millis term_requested_at_;
   uint64_t config_version_ = 0;
   Configuration configuration_;
   std::shared_ptr<const Catalog> catalog_;
   bool draining_ = false;
-  bool leaving_ = false;
+  bool exit_queued_ = false;
   std::optional<Millis> started_at_;
   bool ready_ = false;
-  std::vector<Outbox::Letter> local_;  //!< Letters to this instance.
-  std::vector<Outbox::Letter> letters_;
+  std::vector<Outbox::Letter> local_messages_;  //!< To this instance itself.
+  std::vector<Outbox::Letter> outgoing_messages_;
   std::vector<EntryNotice> notices_;
-  std::vector<uint64_t> exited_now_;
+  std::vector<uint64_t> newly_exited_;
 };
 
 }  // namespace tamaracktrail
--- a/src/coordination/coordinator_ticks.cpp
+++ b/src/coordination/coordinator_ticks.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-constexpr Millis kTermRetry{3000};
-constexpr Millis kPeerConfigRetry{500};
-constexpr Millis kEndedMemory = kHour;
-constexpr uint64_t kOverdueFactor = 3;
+constexpr Millis kTermRetryInterval{3000};
+constexpr Millis kConfigRequestInterval{500};
+constexpr Millis kEndedAttemptRetention = kHour;
+constexpr uint64_t kSnapshotOverdueFactor = 3;
 
 }  // namespace
 
@@ -38,12 +38,12 @@
 
 void Coordinator::MarkExited(Millis now, uint64_t incarnation) {
   membership_.OnExit(incarnation);
-  exited_now_.push_back(incarnation);
-  swept_at_[incarnation] = now;
-  sweep_.Start(incarnation);
+  newly_exited_.push_back(incarnation);
+  last_sweep_at_[incarnation] = now;
+  exit_sweep_.Start(incarnation);
 }
 
-std::vector<KeptShare> Coordinator::OwnOrphans(uint64_t holder) const {
+std::vector<KeptShare> Coordinator::OwnKeptShares(uint64_t holder) const {
   std::vector<KeptShare> kept = custody_.HeldFor(holder);
   for (const auto& [attempt, it] : reservations_) {
     if (it.holder == holder) {
@@ -62,33 +62,33 @@
 }
 
 std::map<std::string, uint64_t> Coordinator::Silent(Millis now) const {
-  std::map<std::string, uint64_t> silent;
+  std::map<std::string, uint64_t> unresponsive;
   const std::vector<uint64_t> live = membership_.LivePeers(now);
   for (const uint64_t it : SweepMembers()) {
     if (std::find(live.begin(), live.end(), it) == live.end()) {
-      silent[control_.fold().members().at(it).address] = it;
+      unresponsive[control_.fold().members().at(it).address] = it;
     }
   }
-  return silent;
+  return unresponsive;
 }
 
-// Time.
+// Periodic work.
 
 void Coordinator::OnTick(Millis now, Millis wall) {
   JoinFleet(now);
-  CatchUpConfiguration(now);
+  RequestNewerConfiguration(now);
   Outbox outbox;
-  content_.OnTick(now, outbox);
-  AppendControl(outbox);
+  content_guard_.OnTick(now, outbox);
+  DispatchControlOutbox(outbox);
   TickCustody(now);
   TickSweeps(now);
   TickShards(now, wall);
   TickPlacer(now);
-  TickProbeDuty(now);
-  std::erase_if(ended_, [&](const auto& it) {
-    return it.second.at + kEndedMemory < now;
+  TickProbeAssignment(now);
+  std::erase_if(ended_attempts_, [&](const auto& it) {
+    return it.second.at + kEndedAttemptRetention < now;
   });
-  Deliver(now, wall);
+  DeliverLocalMessages(now, wall);
 }
 
 void Coordinator::JoinFleet(Millis now) {
@@ -101,11 +101,11 @@
     return;
   }
   const auto& peers = membership_.peers();
-  const bool all_heard =
-      !peers.empty() && membership_.HeardPeers(now) == peers.size();
-  if (all_heard || now >= *started_at_ + options_.settle) {
+  const bool all_peers_heard =
+      !peers.empty() && membership_.CountHeardPeers(now) == peers.size();
+  if (all_peers_heard || now >= *started_at_ + options_.settle) {
     ready_ = true;
-    roles_at_ = Millis(-1);
+    roles_updated_at_ = Millis(-1);
     notices_.push_back(CatalogNotice{catalog_});
   }
 }
@@ -114,14 +114,15 @@
   return control_.fold().members().contains(self_.incarnation);
 }
 
-void Coordinator::CatchUpConfiguration(Millis now) {
-  if (now < peer_config_asked_ + kPeerConfigRetry) {
+void Coordinator::RequestNewerConfiguration(Millis now) {
+  if (now < config_requested_at_ + kConfigRequestInterval) {
     return;
   }
   for (const auto& [address, peer] : membership_.peers()) {
     if (peer.config_version > config_version_ && peer.incarnation != 0) {
-      peer_config_asked_ = now;
-      letters_.push_back({peer.incarnation, ConfigRequest{config_version_}});
+      config_requested_at_ = now;
+      outgoing_messages_.push_back(
+          {peer.incarnation, ConfigRequest{config_version_}});
       return;
     }
   }
@@ -131,7 +132,7 @@
   Outbox outbox;
   const std::vector<uint64_t> peers = membership_.LivePeers(now);
   custody_.OnTick(now, peers, outbox);
-  AppendCustody(outbox);
+  DispatchLedgerOutbox(outbox);
   std::erase_if(custody_tickets_, [&](const CustodyTicket& it) {
     const bool confirmed = shards_[it.shard]->writer().Confirmed(it.ticket);
     if (confirmed) {
@@ -139,11 +140,11 @@
     }
     return confirmed;
   });
-  AppendCustody(outbox);
-  TellSettled();
+  DispatchLedgerOutbox(outbox);
+  ReportSettledCharges();
 }
 
-void Coordinator::TellSettled() {
+void Coordinator::ReportSettledCharges() {
   for (const ChargeCustody::Settled& it : custody_.TakeSettled()) {
     const bool safe = it.safety == ChargeCustody::Safety::kSafe;
     notices_.push_back(SettledNotice{it.attempt, safe});
@@ -151,17 +152,17 @@
 }
 
 void Coordinator::TickSweeps(Millis now) {
-  StartSweeps(now);
+  StartDueSweeps(now);
   if (!control_caught_up_) {
     return;  // The members are not known yet.
   }
   const std::vector<uint64_t> members = SweepMembers();
   Outbox outbox;
-  sweep_.OnTick(now, members, outbox);
-  AppendCustody(outbox);
-  for (ExitSweep::Complete& it : sweep_.TakeComplete(members)) {
+  exit_sweep_.OnTick(now, members, outbox);
+  DispatchLedgerOutbox(outbox);
+  for (ExitSweep::CompletedSweep& it : exit_sweep_.TakeComplete(members)) {
     const OrphanReport own{
-        it.exited, self_.incarnation, OwnOrphans(it.exited), {}};
+        it.exited, self_.incarnation, OwnKeptShares(it.exited), {}};
     std::map<uint64_t, KeptShare> kept;
     for (const KeptShare& share : it.kept) {
       kept[share.attempt] = share;
@@ -169,19 +170,19 @@
     for (const KeptShare& share : own.kept) {
       kept[share.attempt] = share;
     }
-    std::vector<KeptShare> all;
+    std::vector<KeptShare> all_kept;
     for (const auto& [attempt, share] : kept) {
-      all.push_back(share);
+      all_kept.push_back(share);
     }
     for (auto& shard : shards_) {
       shard->OnEntryExit(it.exited, outbox);
-      Collect(*shard, outbox);
+      DispatchShardOutbox(*shard, outbox);
       if (Serving(now, shard->number()) && shard->caught_up()) {
-        std::vector<KeptShare> own_kept = all;
-        std::erase_if(own_kept, [&](const KeptShare& share) {
+        std::vector<KeptShare> shard_kept = all_kept;
+        std::erase_if(shard_kept, [&](const KeptShare& share) {
           return ShardOf(share.organisation) != shard->number();
         });
-        shard->OnSweep(it.exited, std::move(own_kept));
+        shard->OnSweepComplete(it.exited, std::move(shard_kept));
       }
     }
     const auto member = control_.fold().members().find(it.exited);
@@ -193,9 +194,9 @@
   }
 }
 
-void Coordinator::StartSweeps(Millis now) {
-  // An earlier incarnation at this instance's own address is gone, because
-  // this process could bind it.
+void Coordinator::StartDueSweeps(Millis now) {
+  // An earlier incarnation at this instance's own address has exited, since
+  // this process was able to bind the address.
   for (const auto& [incarnation, member] : control_.fold().members()) {
     if (!member.exited && member.address == self_.address &&
         incarnation != self_.incarnation) {
@@ -204,37 +205,37 @@
   }
   for (const auto& it : exit_evidence_) {
     const uint64_t incarnation = it.first;
-    Millis& at = swept_at_[incarnation];
+    Millis& at = last_sweep_at_[incarnation];
     if (now < at + options_.resweep) {
       continue;
     }
     at = now;
-    const bool stuck =
+    const bool stranded =
         std::any_of(shards_.begin(), shards_.end(), [&](const auto& shard) {
           return Serving(now, shard->number()) &&
                  shard->view().fold().HeldBy(incarnation) > 0;
         });
-    if (stuck) {
-      sweep_.Start(incarnation);
+    if (stranded) {
+      exit_sweep_.Start(incarnation);
     }
   }
 }
 
 void Coordinator::TickShards(Millis now, Millis wall) {
   const std::vector<uint64_t> suspected = membership_.Suspected(now);
-  std::set<std::string> centres;
+  std::set<std::string> data_centres;
   for (const auto& [incarnation, member] : control_.fold().members()) {
     if (!member.exited) {
-      centres.insert(member.data_centre);
+      data_centres.insert(member.data_centre);
     }
   }
   for (auto& shard : shards_) {
     std::string designated;
-    uint64_t best = 0;
-    for (const std::string& it : centres) {
+    uint64_t max_weight = 0;
+    for (const std::string& it : data_centres) {
       const uint64_t weight = RendezvousWeight(shard->stream(), it);
-      if (weight >= best) {
-        best = weight;
+      if (weight >= max_weight) {
+        max_weight = weight;
         designated = it;
       }
     }
@@ -242,28 +243,30 @@
     shard->keeper().SetSuspected({suspected.begin(), suspected.end()});
     shard->OnTick(now, wall, Serving(now, shard->number()),
                   designated == options_.data_centre, outbox);
-    Collect(*shard, outbox);
+    DispatchShardOutbox(*shard, outbox);
   }
-  const std::vector<uint64_t> live = membership_.Candidates(now, Idle());
+  const std::vector<uint64_t> live =
+      membership_.Candidates(now, ExcludedFromRoles());
   const bool designated =
       RendezvousPick(ControlStreamName(), live) == self_.incarnation;
-  const uint64_t limit =
-      options_.control_snapshot_records * (designated ? 1 : kOverdueFactor);
-  if (control_since_snapshot_ >= limit && control_.live()) {
-    control_since_snapshot_ = 0;
+  const uint64_t limit = options_.control_snapshot_records *
+                         (designated ? 1 : kSnapshotOverdueFactor);
+  if (control_records_since_snapshot_ >= limit && control_.live()) {
+    control_records_since_snapshot_ = 0;
     control_writer_.Add(control_.MakeSnapshot());
   }
 }
 
 void Coordinator::TickPlacer(Millis now) {
-  const std::vector<uint64_t> live = membership_.Candidates(now, Idle());
+  const std::vector<uint64_t> live =
+      membership_.Candidates(now, ExcludedFromRoles());
   const bool chosen = RendezvousPick("placer", live) == self_.incarnation;
   const auto term = control_.fold().TermOf(options_.data_centre);
   const bool held = term.has_value() && term->holder == self_.incarnation;
   const bool wanted = catalog_ != nullptr && !catalog_->placements.empty() &&
                       control_caught_up_ && chosen && !held;
-  if (wanted && now >= term_asked_ + kTermRetry) {
-    term_asked_ = now;
+  if (wanted && now >= term_requested_at_ + kTermRetryInterval) {
+    term_requested_at_ = now;
     control_writer_.Add(Term{options_.data_centre, self_.incarnation});
   }
   placer_.SetTerm(now, held && !draining_ ? std::optional(term->fencing_number)
@@ -280,31 +283,31 @@
   }
 }
 
-void Coordinator::TickProbeDuty(Millis now) {
+void Coordinator::TickProbeAssignment(Millis now) {
   RefreshRoles(now);
-  const bool same =
-      duty_version_ == config_version_ && duty_roles_ == role_changes_;
-  if (catalog_ == nullptr || same) {
+  const bool unchanged = assignment_config_version_ == config_version_ &&
+                         assignment_role_changes_ == role_changes_;
+  if (catalog_ == nullptr || unchanged) {
     return;
   }
-  duty_version_ = config_version_;
-  duty_roles_ = role_changes_;
-  ProbeDuty duty;
+  assignment_config_version_ = config_version_;
+  assignment_role_changes_ = role_changes_;
+  ProbeDuty assignment;
   for (const auto& [name, spec] : catalog_->endpoints) {
     if (spec.data_centre == options_.data_centre &&
         RendezvousAmong(name, candidates_, self_.incarnation,
-                        options_.probers)) {
-      duty.endpoints.push_back(name);
+                        options_.probers_per_endpoint)) {
+      assignment.endpoints.push_back(name);
     }
   }
-  duty.instances = std::max<int>(1, static_cast<int>(candidates_.size()));
-  notices_.push_back(std::move(duty));
+  assignment.instances = std::max<int>(1, static_cast<int>(candidates_.size()));
+  notices_.push_back(std::move(assignment));
 }
 
-void Coordinator::ReportEndpoints(std::vector<EndpointNews> news,
+void Coordinator::ReportEndpoints(std::vector<EndpointNews> reports,
                                   std::vector<Placer::EndpointState> states,
                                   std::map<std::string, int> demand) {
-  own_news_ = std::move(news);
+  own_probe_reports_ = std::move(reports);
   endpoint_states_ = std::move(states);
   demand_ = std::move(demand);
 }
@@ -315,7 +318,7 @@
 
 void Coordinator::Drain() {
   draining_ = true;
-  roles_at_ = Millis(-1);
+  roles_updated_at_ = Millis(-1);
 }
 
 bool Coordinator::HoldsCharge(uint64_t attempt) const {
@@ -338,7 +341,7 @@
 }
 
 void Coordinator::Leave() {
-  leaving_ = true;
+  exit_queued_ = true;
   control_writer_.Add(Exit{self_.incarnation, "graceful shutdown"});
 }
 
--- a/src/coordination/exit_sweep.cpp
+++ b/src/coordination/exit_sweep.cpp
@@ -26,11 +26,11 @@
                        std::span<const uint64_t> members,
                        Outbox& outbox) {
   for (auto& [exited, sweep] : sweeps_) {
-    if (sweep.asked && now < sweep.asked_at + kRepeat) {
+    if (sweep.queried && now < sweep.queried_at + kQueryInterval) {
       continue;
     }
-    sweep.asked = true;
-    sweep.asked_at = now;
+    sweep.queried = true;
+    sweep.queried_at = now;
     for (const uint64_t member : members) {
       if (member != exited && !sweep.reporters.contains(member)) {
         outbox.Send(member, OrphanQuery{exited});
@@ -39,21 +39,21 @@
   }
 }
 
-std::vector<ExitSweep::Complete> ExitSweep::TakeComplete(
+std::vector<ExitSweep::CompletedSweep> ExitSweep::TakeComplete(
     std::span<const uint64_t> members) {
-  std::vector<Complete> complete;
+  std::vector<CompletedSweep> complete;
   for (auto it = sweeps_.begin(); it != sweeps_.end();) {
     const uint64_t exited = it->first;
     const Sweep& sweep = it->second;
-    const bool all =
+    const bool all_reported =
         std::all_of(members.begin(), members.end(), [&](uint64_t member) {
           return member == exited || sweep.reporters.contains(member);
         });
-    if (!all) {
+    if (!all_reported) {
       ++it;
       continue;
     }
-    Complete out{exited, {}};
+    CompletedSweep out{exited, {}};
     for (const auto& [attempt, kept] : sweep.kept) {
       out.kept.push_back(kept);
     }
--- a/src/coordination/exit_sweep.h
+++ b/src/coordination/exit_sweep.h
@@ -14,34 +14,36 @@
 
 namespace tamaracktrail {
 
-//! Collects, after an incarnation's exit, what every other instance of the data
-//! centre still accounts for under it.
+//! After an incarnation's exit, collects from every other instance of the data
+//! centre the reservations and charges under its share that the instance still
+//! accounts for.
 //!
-//! Only when each instance that joined and has not exited has reported may the
-//! exited one's reservations and shares be freed; an instance that cannot be
-//! reached blocks this, and no timeout ends the wait. Not thread-safe.
+//! The exited incarnation's reservations and shares may be freed only when each
+//! instance that has joined and not exited has reported. An unreachable
+//! instance blocks this; there is no timeout. Not thread-safe.
 class ExitSweep {
  public:
-  static constexpr Millis kRepeat = kSecond;
+  static constexpr Millis kQueryInterval = kSecond;
 
-  //! A sweep that has heard from all.
-  struct Complete {
+  //! Result of a sweep in which all members have reported.
+  struct CompletedSweep {
     uint64_t exited = 0;
-    std::vector<KeptShare> kept;  //!< One entry an attempt.
+    std::vector<KeptShare> kept;  //!< One element per attempt.
   };
 
-  //! Starts a sweep, which may be a further one of the same incarnation. Has no
-  //! effect where one is running.
+  //! Starts a sweep. An incarnation may be swept again after its sweep is
+  //! complete; has no effect while one is open.
   void Start(uint64_t exited);
 
   void OnReport(const OrphanReport& report);
 
-  //! Asks the members that have not reported. `members` are the joined and not
-  //! exited instances of the data centre without this one.
+  //! Sends queries to the members that have not reported. `members` are the
+  //! instances of the data centre that have joined and not exited, without this
+  //! one.
   void OnTick(Millis now, std::span<const uint64_t> members, Outbox& outbox);
 
   //! Sweeps for which all `members` have reported; each is returned once.
-  std::vector<Complete> TakeComplete(std::span<const uint64_t> members);
+  std::vector<CompletedSweep> TakeComplete(std::span<const uint64_t> members);
 
   //! Sweeps that still wait for a report.
   size_t open() const { return sweeps_.size(); }
@@ -50,8 +52,8 @@
   struct Sweep {
     std::set<uint64_t> reporters;
     std::map<uint64_t, KeptShare> kept;  //!< By attempt.
-    Millis asked_at;
-    bool asked = false;
+    Millis queried_at;
+    bool queried = false;
   };
 
   std::map<uint64_t, Sweep> sweeps_;  //!< By exited incarnation.
--- a/src/coordination/ledger_shard.cpp
+++ b/src/coordination/ledger_shard.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr uint64_t kOverdueFactor = 3;
+constexpr uint64_t kSnapshotOverdueFactor = 3;
 
 }  // namespace
 
@@ -40,10 +40,10 @@
                             Outbox& outbox) {
   for (const LogEntry& entry : entries) {
     for (const AppliedBatch& it : view_.Feed(entry)) {
-      since_snapshot_ += it.batch.records.size();
+      records_since_snapshot_ += it.batch.records.size();
       for (const Record& record : it.batch.records) {
         if (std::holds_alternative<LedgerSnapshot>(record)) {
-          since_snapshot_ = 0;
+          records_since_snapshot_ = 0;
         }
       }
       keeper_.OnApplied(now, it, outbox);
@@ -58,7 +58,7 @@
                             const ReserveRequest& request,
                             Outbox& outbox) {
   if (!caught_up_) {
-    early_.push_back({request, now + options_.keeper.reserve_wait});
+    queued_requests_.push_back({request, now + options_.keeper.reserve_wait});
     return;
   }
   keeper_.OnReserve(now, wall, request, outbox);
@@ -73,19 +73,21 @@
 void LedgerShard::OnReservationEnd(Millis now,
                                    const ReservationEnd& end,
                                    Outbox& outbox) {
-  std::erase_if(early_, [&](const Early& it) {
+  std::erase_if(queued_requests_, [&](const QueuedRequest& it) {
     return it.request.attempt == end.attempt;
   });
   keeper_.OnReservationEnd(now, end, outbox);
 }
 
 void LedgerShard::OnEntryExit(uint64_t entry, Outbox& outbox) {
-  std::erase_if(early_,
-                [&](const Early& it) { return it.request.entry == entry; });
+  std::erase_if(queued_requests_, [&](const QueuedRequest& it) {
+    return it.request.entry == entry;
+  });
   keeper_.OnEntryExit(entry, outbox);
 }
 
-void LedgerShard::OnSweep(uint64_t exited, std::vector<KeptShare> kept) {
+void LedgerShard::OnSweepComplete(uint64_t exited,
+                                  std::vector<KeptShare> kept) {
   writer_.Add(Release{exited, "all instances of the data centre reported",
                       std::move(kept)});
 }
@@ -95,20 +97,20 @@
                          bool serving,
                          bool designated,
                          Outbox& outbox) {
-  ServeEarly(now, wall, outbox);
+  ServeQueuedRequests(now, wall, outbox);
   keeper_.OnTick(now, serving, outbox);
   const uint64_t limit =
-      options_.snapshot_records * (designated ? 1 : kOverdueFactor);
-  const bool due = serving && since_snapshot_ >= limit;
-  if (due && view_.live() && writer_.failures() == 0) {
-    since_snapshot_ = 0;
+      options_.snapshot_records * (designated ? 1 : kSnapshotOverdueFactor);
+  const bool due = serving && records_since_snapshot_ >= limit;
+  if (due && view_.live() && writer_.consecutive_failures() == 0) {
+    records_since_snapshot_ = 0;
     writer_.Add(view_.MakeSnapshot());
   }
 }
 
-void LedgerShard::ServeEarly(Millis now, Millis wall, Outbox& outbox) {
-  std::deque<Early> early = std::exchange(early_, {});
-  for (Early& it : early) {
+void LedgerShard::ServeQueuedRequests(Millis now, Millis wall, Outbox& outbox) {
+  std::deque<QueuedRequest> queued = std::exchange(queued_requests_, {});
+  for (QueuedRequest& it : queued) {
     if (caught_up_) {
       keeper_.OnReserve(now, wall, it.request, outbox);
     } else if (now >= it.deadline) {
@@ -118,20 +120,20 @@
                        static_cast<int32_t>(ResultCode::kBudgetUnavailable),
                        self_, it.request.tokens});
     } else {
-      early_.push_back(std::move(it));
+      queued_requests_.push_back(std::move(it));
     }
   }
 }
 
-void LedgerShard::TakeRecords(Outbox& outbox) {
+void LedgerShard::AppendRecords(Outbox& outbox) {
   for (Record& it : outbox.records) {
     writer_.Add(std::move(it));
   }
   outbox.records.clear();
 }
 
-bool LedgerShard::Needed(bool serving) const {
-  return serving || !early_.empty() || writer_.backlog() > 0 ||
+bool LedgerShard::NeedsRead(bool serving) const {
+  return serving || !queued_requests_.empty() || writer_.backlog() > 0 ||
          keeper_.reservation_count() > 0 || keeper_.pending_charge_count() > 0;
 }
 
--- a/src/coordination/ledger_shard.h
+++ b/src/coordination/ledger_shard.h
@@ -19,16 +19,17 @@
 
 namespace tamaracktrail {
 
-//! One ledger shard as this instance sees it: the stream's fold, this
-//! instance's writer, and its keeper. Not thread-safe.
+//! This instance's replica of one ledger shard: the fold of the shard's stream,
+//! the writer that appends to it, and the keeper of this instance's shares. Not
+//! thread-safe.
 class LedgerShard {
  public:
   struct Options {
     Millis key_window = kHour * 24;
     Keeper<EscrowPolicy>::Options keeper;
     LogWriter::Policy writer;
-    double hold = 0.5;
-    Millis cover = kMinute * 10;
+    double hold = 0.5;                 //!< See EscrowPolicy.
+    Millis cover = kMinute * 10;       //!< See EscrowPolicy.
     uint64_t snapshot_records = 5000;  //!< Folded between two snapshots.
   };
 
@@ -41,14 +42,15 @@
   LedgerShard(const LedgerShard&) = delete;
   LedgerShard& operator=(const LedgerShard&) = delete;
 
-  //! Entries of the stream in ascending order. `at_end` where the log has none
-  //! after them.
+  //! Applies entries of the stream, in ascending order. `at_end`: the log has
+  //! no entries after them.
   void OnEntries(Millis now,
                  std::span<const LogEntry> entries,
                  bool at_end,
                  Outbox& outbox);
 
-  //! Hands the request to the keeper once the fold has caught up.
+  //! Passes the request to the keeper once the fold has caught up. Refuses it
+  //! with kBudgetUnavailable if that takes longer than keeper.reserve_wait.
   void OnReserve(Millis now,
                  Millis wall,
                  const ReserveRequest& request,
@@ -57,24 +59,26 @@
   void OnReservationEnd(Millis now, const ReservationEnd& end, Outbox& outbox);
   void OnEntryExit(uint64_t entry, Outbox& outbox);
 
-  //! An exit sweep is complete: frees what the exited holder had, but for
-  //! `kept`, which are this shard's attempts only.
-  void OnSweep(uint64_t exited, std::vector<KeptShare> kept);
+  //! Releases the shares of an exited holder after a complete exit sweep,
+  //! except the tokens in `kept`. Precondition: `kept` has this shard's
+  //! attempts only.
+  void OnSweepComplete(uint64_t exited, std::vector<KeptShare> kept);
 
   //! `serving`: this instance is the shard's keeper in its data centre.
-  //! `designated`: it is the one to write snapshots; others stand in once one
-  //! is long overdue.
+  //! `designated`: its data centre is the one whose keeper writes the
+  //! snapshots; keepers of other data centres write one only when it is
+  //! overdue, after 3 times as many records.
   void OnTick(Millis now,
               Millis wall,
               bool serving,
               bool designated,
               Outbox& outbox);
 
-  //! Appends records of `outbox` to this shard's writer.
-  void TakeRecords(Outbox& outbox);
+  //! Moves the records of `outbox` to this shard's writer.
+  void AppendRecords(Outbox& outbox);
 
-  //! Whether the stream is worth reading now.
-  bool Needed(bool serving) const;
+  //! Whether the stream has to be read now.
+  bool NeedsRead(bool serving) const;
 
   std::string stream() const;
   uint32_t number() const { return number_; }
@@ -88,12 +92,13 @@
   static std::string StreamName(uint32_t number);
 
  private:
-  struct Early {
+  //! A request that arrived before the fold had caught up.
+  struct QueuedRequest {
     ReserveRequest request;
     Millis deadline;
   };
 
-  void ServeEarly(Millis now, Millis wall, Outbox& outbox);
+  void ServeQueuedRequests(Millis now, Millis wall, Outbox& outbox);
 
   uint64_t self_;
   uint32_t number_;
@@ -102,8 +107,8 @@
   LogWriter writer_;
   Keeper<EscrowPolicy> keeper_;
   bool caught_up_ = false;
-  std::deque<Early> early_;  //!< Came before the fold caught up.
-  uint64_t since_snapshot_ = 0;
+  std::deque<QueuedRequest> queued_requests_;
+  uint64_t records_since_snapshot_ = 0;
 };
 
 }  // namespace tamaracktrail
--- a/src/coordination/log_writer.cpp
+++ b/src/coordination/log_writer.cpp
@@ -14,94 +14,99 @@
 namespace {
 
 constexpr int kMaxBackoffShift = 2;
+//! An idle writer appends an empty batch once its last one is older than the
+//! writer window divided by this, since it would lose its hash chain after the
+//! whole window.
 constexpr int64_t kKeepaliveDivisor = 2;
 
-//! Rough encoded size; only large records matter.
-size_t RoughBytes(const Record& record) {
-  constexpr size_t kSmallRecord = 160;
+//! Estimates the encoded size. All records but snapshots are small.
+size_t EstimateEncodedBytes(const Record& record) {
+  constexpr size_t kSmallRecordBytes = 160;
   if (const auto* it = std::get_if<LedgerSnapshot>(&record)) {
-    return kSmallRecord + it->state.size();
+    return kSmallRecordBytes + it->state.size();
   }
   if (const auto* it = std::get_if<ControlSnapshot>(&record)) {
-    return kSmallRecord + it->state.size();
+    return kSmallRecordBytes + it->state.size();
   }
-  return kSmallRecord;
+  return kSmallRecordBytes;
 }
 
 }  // namespace
 
-LogWriter::LogWriter(uint64_t writer, const BatchCodec* codec, Policy policy)
-    : writer_(writer), codec_(codec), policy_(policy) {}
+LogWriter::LogWriter(uint64_t writer, const BatchCodec* codec, Policy options)
+    : writer_(writer), codec_(codec), options_(options) {}
 
 uint64_t LogWriter::Add(Record record) {
   queue_.push_back(std::move(record));
-  return ++added_;
+  return ++last_ticket_;
 }
 
 std::optional<std::string> LogWriter::NextAppend(Millis now, Millis wall) {
-  if (waiting_) {
+  if (awaiting_answer_) {
     return std::nullopt;
   }
-  if (!payload_.empty()) {
+  if (!pending_payload_.empty()) {
     if (now < retry_at_) {
       return std::nullopt;
     }
-    waiting_ = true;
-    return payload_;
+    awaiting_answer_ = true;
+    return pending_payload_;
   }
-  const bool due = !started_ || now >= last_start_ + policy_.interval;
+  const bool due =
+      !has_sent_batch_ || now >= last_batch_at_ + options_.interval;
   if (!due || (queue_.empty() && !KeepaliveDue(wall))) {
     return std::nullopt;
   }
-  Batch batch{writer_, ++sequence_, previous_, wall, {}};
+  Batch batch{writer_, ++sequence_, previous_digest_, wall, {}};
   size_t bytes = 0;
-  while (!queue_.empty() && batch.records.size() < policy_.max_records &&
-         bytes < policy_.max_bytes) {
-    bytes += RoughBytes(queue_.front());
+  while (!queue_.empty() && batch.records.size() < options_.max_records &&
+         bytes < options_.max_bytes) {
+    bytes += EstimateEncodedBytes(queue_.front());
     batch.records.push_back(std::move(queue_.front()));
     queue_.pop_front();
   }
-  payload_ = codec_->Encode(batch);
-  previous_ = BatchCodec::ChainDigest(payload_);
-  in_flight_records_ = batch.records.size();
-  started_ = true;
-  waiting_ = true;
-  last_start_ = now;
-  last_wall_ = wall;
-  return payload_;
+  pending_payload_ = codec_->Encode(batch);
+  previous_digest_ = BatchCodec::ChainDigest(pending_payload_);
+  pending_records_ = batch.records.size();
+  has_sent_batch_ = true;
+  awaiting_answer_ = true;
+  last_batch_at_ = now;
+  last_batch_wall_ = wall;
+  return pending_payload_;
 }
 
 void LogWriter::OnAppended(Millis now, bool ok) {
-  waiting_ = false;
+  awaiting_answer_ = false;
   if (ok) {
-    failures_ = 0;
-    Confirm();
+    consecutive_failures_ = 0;
+    ConfirmPending();
     return;
   }
-  const int shift = std::min(failures_, kMaxBackoffShift);
-  ++failures_;
-  retry_at_ = now + policy_.retry * (int64_t{1} << shift);
+  const int shift = std::min(consecutive_failures_, kMaxBackoffShift);
+  ++consecutive_failures_;
+  retry_at_ = now + options_.retry_delay * (int64_t{1} << shift);
 }
 
 void LogWriter::OnReadBack(uint64_t last_sequence) {
-  CHECK_LE(last_sequence, sequence_) << "another process writes as this one";
+  CHECK_LE(last_sequence, sequence_)
+      << "another process appends under this writer's incarnation";
   if (last_sequence == sequence_) {
-    Confirm();
+    ConfirmPending();
   }
 }
 
-void LogWriter::Confirm() {
-  if (payload_.empty()) {
+void LogWriter::ConfirmPending() {
+  if (pending_payload_.empty()) {
     return;
   }
-  payload_.clear();
-  confirmed_ += in_flight_records_;
-  in_flight_records_ = 0;
+  pending_payload_.clear();
+  last_confirmed_ticket_ += pending_records_;
+  pending_records_ = 0;
 }
 
 bool LogWriter::KeepaliveDue(Millis wall) const {
-  const Millis age = wall - last_wall_;
-  return started_ &&
+  const Millis age = wall - last_batch_wall_;
+  return has_sent_batch_ &&
          age.count() * kKeepaliveDivisor > WriterChains::kWriterWindow.count();
 }
 
--- a/src/coordination/log_writer.h
+++ b/src/coordination/log_writer.h
@@ -14,68 +14,75 @@
 
 class BatchCodec;
 
-//! Batches one writer's records for one stream and repeats each append until it
-//! is confirmed.
+//! Batches the records of one writer for one stream and repeats each append
+//! until it is confirmed.
 //!
-//! One batch is on its way at a time. A repeat carries the same bytes, so that
-//! readers recognize it by (writer, sequence). Not thread-safe.
+//! At most one batch is pending (appended, outcome unknown) at a time. A
+//! repeated append carries the same bytes, so that readers recognize it by
+//! (writer, sequence). Not thread-safe.
 class LogWriter {
  public:
   struct Policy {
-    Millis interval{200};           //!< Shortest time between new batches.
-    Millis retry{1000};             //!< Time before an append is repeated.
+    Millis interval{200};  //!< Shortest time between new batches.
+    //! Delay before an append is repeated. Each consecutive failure doubles it,
+    //! up to 4 times this.
+    Millis retry_delay{1000};
     size_t max_records = 500;       //!< Records in a batch.
-    size_t max_bytes = 512 * 1024;  //!< Rough size of a batch.
+    size_t max_bytes = 512 * 1024;  //!< Estimated encoded size of a batch.
   };
 
   //! Precondition: `codec` outlives the writer; `writer` is this process's
   //! incarnation and no other object writes the stream under it.
-  LogWriter(uint64_t writer, const BatchCodec* codec, Policy policy);
+  LogWriter(uint64_t writer, const BatchCodec* codec, Policy options);
 
-  //! Queues a record; returns its ticket. Tickets count from 1.
+  //! Queues a record and returns its ticket. Tickets are consecutive from 1.
   uint64_t Add(Record record);
 
-  //! The payload to append now, if any is due. After it, exactly one call of
-  //! OnAppended follows before the next payload is returned.
+  //! The payload to append now, if any is due. The caller has to answer each
+  //! payload with exactly one call of OnAppended; until then no other is
+  //! returned.
   std::optional<std::string> NextAppend(Millis now, Millis wall);
 
-  //! Answer of the append: `ok` where the log has taken it for certain.
+  //! Result of the append. `ok`: the log has stored it for certain.
   void OnAppended(Millis now, bool ok);
 
-  //! The stream holds this writer's batches up to `last_sequence`.
+  //! Reports that the stream holds this writer's batches up to `last_sequence`.
+  //! Stops the process if that batch was never written by this writer.
   void OnReadBack(uint64_t last_sequence);
 
-  //! Whether the log holds the record of `ticket`.
-  bool Confirmed(uint64_t ticket) const { return ticket <= confirmed_; }
+  //! Whether the log is known to hold the record of `ticket`.
+  bool Confirmed(uint64_t ticket) const {
+    return ticket <= last_confirmed_ticket_;
+  }
 
-  //! Records not confirmed yet.
-  size_t backlog() const { return queue_.size() + in_flight_records_; }
+  //! Number of records that are not confirmed yet.
+  size_t backlog() const { return queue_.size() + pending_records_; }
 
-  //! Consecutive appends that failed; 0 while the log answers.
-  int failures() const { return failures_; }
+  //! Number of consecutive failed appends; 0 while appends succeed.
+  int consecutive_failures() const { return consecutive_failures_; }
 
-  //! Whether an append awaits its answer.
-  bool waiting() const { return waiting_; }
+  //! Whether NextAppend returned a payload that OnAppended has not answered.
+  bool awaiting_answer() const { return awaiting_answer_; }
 
  private:
-  void Confirm();
+  void ConfirmPending();
   bool KeepaliveDue(Millis wall) const;
 
   uint64_t writer_;
   const BatchCodec* codec_;
-  Policy policy_;
+  Policy options_;
   std::deque<Record> queue_;
-  uint64_t added_ = 0;
-  uint64_t confirmed_ = 0;
+  uint64_t last_ticket_ = 0;
+  uint64_t last_confirmed_ticket_ = 0;
   uint64_t sequence_ = 0;
-  std::string previous_;
-  std::string payload_;  //!< Batch on its way; empty for none.
-  size_t in_flight_records_ = 0;
-  bool waiting_ = false;
-  bool started_ = false;
-  int failures_ = 0;
-  Millis last_start_;
-  Millis last_wall_;
+  std::string previous_digest_;
+  std::string pending_payload_;  //!< Pending batch; empty for none.
+  size_t pending_records_ = 0;
+  bool awaiting_answer_ = false;
+  bool has_sent_batch_ = false;
+  int consecutive_failures_ = 0;
+  Millis last_batch_at_;
+  Millis last_batch_wall_;
   Millis retry_at_;
 };
 
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -12,8 +12,9 @@
 
 namespace {
 
-constexpr int64_t kDriftDivisor = 2000;  //!< 500 parts in a million.
-constexpr int64_t kRounding = 1;         //!< Millisecond clocks.
+//! Clocks are assumed to drift apart by at most 1/2000, or 500 ppm.
+constexpr int64_t kDriftDivisor = 2000;
+constexpr int64_t kRoundingMs = 1;  //!< Resolution of the clocks.
 
 }  // namespace
 
@@ -42,9 +43,9 @@
                              const Heartbeat& heartbeat,
                              std::optional<uint64_t>& replaced) {
   const InstanceId& from = heartbeat.from;
-  const bool foreign = heartbeat.data_centre != data_centre_ ||
-                       from.incarnation == self_.incarnation;
-  if (foreign || exited_.contains(from.incarnation)) {
+  const bool not_a_peer = heartbeat.data_centre != data_centre_ ||
+                          from.incarnation == self_.incarnation;
+  if (not_a_peer || exited_.contains(from.incarnation)) {
     return false;
   }
   Peer& peer = peers_[from.address];
@@ -66,40 +67,42 @@
   peer.draining = heartbeat.draining;
   if (heartbeat.echo_of == self_.incarnation) {
     peer.echoed_at = heartbeat.echo;
-    TightenOffset(now, heartbeat, peer);
+    UpdateClockOffset(now, heartbeat, peer);
   } else {
-    due_[from.address] = now;  // The peer has not heard of this instance yet.
+    // The peer has not received a heartbeat of this incarnation yet.
+    next_heartbeat_at_[from.address] = now;
   }
   return true;
 }
 
-void Membership::TightenOffset(Millis now,
-                               const Heartbeat& heartbeat,
-                               Peer& peer) {
-  // The peer sent this after it had our heartbeat of time `echo`. An older
-  // bound loses what the two clocks may have drifted apart since.
+void Membership::UpdateClockOffset(Millis now,
+                                   const Heartbeat& heartbeat,
+                                   Peer& peer) {
+  // The peer sent this heartbeat after it received the one that this instance
+  // sent at `echo`, which gives the bound. An older bound is reduced by the
+  // possible drift between the two clocks since then.
   const Millis bound = heartbeat.echo - heartbeat.sent_at;
-  if (peer.clock_offset.has_value()) {
-    const int64_t age = (now - peer.offset_at).count();
+  if (peer.min_clock_offset.has_value()) {
+    const int64_t age = (now - peer.offset_updated_at).count();
     const Millis old =
-        *peer.clock_offset - Millis(age / kDriftDivisor + kRounding);
-    peer.clock_offset = std::max(old, bound);
+        *peer.min_clock_offset - Millis(age / kDriftDivisor + kRoundingMs);
+    peer.min_clock_offset = std::max(old, bound);
   } else {
-    peer.clock_offset = bound;
+    peer.min_clock_offset = bound;
   }
-  peer.offset_at = now;
+  peer.offset_updated_at = now;
 }
 
 std::optional<Millis> Membership::LocalTime(const Peer& peer, Millis time) {
-  if (!peer.clock_offset.has_value()) {
+  if (!peer.min_clock_offset.has_value()) {
     return std::nullopt;
   }
-  return time + *peer.clock_offset;
+  return time + *peer.min_clock_offset;
 }
 
-Millis Membership::Period() const {
+Millis Membership::HeartbeatPeriod() const {
   const auto n = static_cast<int64_t>(peers_.size());
-  return std::max(options_.period, options_.period_per_peer * n);
+  return std::max(options_.heartbeat_period, options_.min_period_per_peer * n);
 }
 
 void Membership::OnExit(uint64_t incarnation) {
@@ -112,20 +115,20 @@
 }
 
 std::vector<std::string> Membership::Due(Millis now) {
-  const Millis period = Period();
+  const Millis period = HeartbeatPeriod();
   std::vector<std::string> due;
   for (const auto& [address, peer] : peers_) {
-    if (!peer.listed && !Live(now, peer)) {
+    if (!peer.listed && !IsLive(now, peer)) {
       continue;
     }
-    Millis& at = due_[address];
+    Millis& at = next_heartbeat_at_[address];
     if (now >= at) {
-      // Jitter, so that two peers' heartbeats do not keep one phase and the
-      // bound on their clocks becomes tight.
-      const auto n =
+      // Jitter keeps the heartbeats of two peers from staying in a fixed phase,
+      // so that the bound on their clock offset becomes tight.
+      const auto jitter =
           static_cast<int64_t>(StableHash(address, sequence_) %
                                static_cast<uint64_t>(period.count()));
-      at = now + Millis(period.count() * 3 / 4 + n / 2);
+      at = now + Millis(period.count() * 3 / 4 + jitter / 2);
       due.push_back(address);
     }
   }
@@ -151,10 +154,10 @@
   return out;
 }
 
-bool Membership::Live(Millis now, const Peer& peer) const {
-  const Millis patience =
-      std::max(options_.suspect_after, Period() * options_.suspect_periods);
-  const Millis oldest = now - patience;
+bool Membership::IsLive(Millis now, const Peer& peer) const {
+  const Millis timeout = std::max(
+      options_.suspect_after, HeartbeatPeriod() * options_.min_suspect_periods);
+  const Millis oldest = now - timeout;
   return peer.incarnation != 0 && peer.heard_at.has_value() &&
          *peer.heard_at > oldest && peer.echoed_at.has_value() &&
          *peer.echoed_at > oldest;
@@ -163,17 +166,17 @@
 std::vector<uint64_t> Membership::LivePeers(Millis now) const {
   std::vector<uint64_t> live;
   for (const auto& [address, peer] : peers_) {
-    if (Live(now, peer) && !peer.draining) {
+    if (IsLive(now, peer) && !peer.draining) {
       live.push_back(peer.incarnation);
     }
   }
   return live;
 }
 
-size_t Membership::HeardPeers(Millis now) const {
+size_t Membership::CountHeardPeers(Millis now) const {
   return static_cast<size_t>(
       std::count_if(peers_.begin(), peers_.end(),
-                    [&](const auto& it) { return Live(now, it.second); }));
+                    [&](const auto& it) { return IsLive(now, it.second); }));
 }
 
 std::vector<uint64_t> Membership::Candidates(Millis now, bool draining) const {
@@ -187,7 +190,7 @@
 std::vector<uint64_t> Membership::Suspected(Millis now) const {
   std::vector<uint64_t> out;
   for (const auto& [address, peer] : peers_) {
-    if (peer.incarnation != 0 && !Live(now, peer)) {
+    if (peer.incarnation != 0 && !IsLive(now, peer)) {
       out.push_back(peer.incarnation);
     }
   }
--- a/src/coordination/membership.h
+++ b/src/coordination/membership.h
@@ -15,17 +15,19 @@
 
 //! This instance's view of the instances of its data centre.
 //!
-//! Addresses come from settings and the platform's list, which only seeds the
-//! view; liveness comes from heartbeats. Silence makes a peer suspected and
-//! nothing more: only OnExit, which is called on evidence, ends an incarnation.
-//! Not thread-safe.
+//! Settings and the platform's list only supply seed addresses; liveness comes
+//! from heartbeats. A peer without recent heartbeats becomes suspected and no
+//! more than that: only OnExit, which is called on evidence, ends an
+//! incarnation. Not thread-safe.
 class Membership {
  public:
   struct Options {
-    Millis period{400};          //!< Between heartbeats to one peer.
-    Millis period_per_peer{20};  //!< Lower bound of the period, times peers.
+    Millis heartbeat_period{400};  //!< Between heartbeats to one peer.
+    //! The period is at least this, multiplied by the number of peers.
+    Millis min_period_per_peer{20};
     Millis suspect_after{2000};
-    int64_t suspect_periods = 4;  //!< Or these, where they are longer.
+    //! A peer is not suspected before this number of heartbeat periods.
+    int64_t min_suspect_periods = 4;
   };
 
   struct Peer {
@@ -34,11 +36,12 @@
     std::string data_centre;
     uint64_t sequence = 0;
     std::optional<Millis> heard_at;
-    Millis peer_sent_at;              //!< To be echoed.
-    std::optional<Millis> echoed_at;  //!< When we sent what the peer echoed.
-    //! This clock's time is at least the peer's clock plus this.
-    std::optional<Millis> clock_offset;
-    Millis offset_at;
+    Millis peer_sent_at;  //!< Of its latest heartbeat, to be echoed.
+    //! When this instance sent the heartbeat that the peer echoed last.
+    std::optional<Millis> echoed_at;
+    //! Lower bound of this instance's clock minus the peer's clock.
+    std::optional<Millis> min_clock_offset;
+    Millis offset_updated_at;
     uint64_t config_version = 0;
     bool draining = false;
     bool listed = true;
@@ -46,44 +49,47 @@
 
   Membership(InstanceId self, std::string data_centre, Options options);
 
-  //! Addresses to send heartbeats to, this instance's own left out. Peers that
-  //! are heard from stay although the list lacks them.
+  //! Sets the addresses to send heartbeats to; this instance's own is ignored.
+  //! Live peers stay even if the list lacks them.
   void SetSeeds(const std::vector<std::string>& addresses);
 
-  //! Takes in a heartbeat. False where it is old, or from another data centre,
-  //! or from an incarnation that has exited. `replaced` is set to an earlier
-  //! incarnation at the same address, which has therefore exited.
+  //! Applies a heartbeat. Returns false if it is older than the last one, from
+  //! this instance itself, from another data centre or from an incarnation that
+  //! has exited. Sets `replaced` to an earlier incarnation at the same address,
+  //! which has therefore exited.
   bool OnHeartbeat(Millis now,
                    const Heartbeat& heartbeat,
                    std::optional<uint64_t>& replaced);
 
-  //! The incarnation's process has ended.
+  //! Reports that the process of `incarnation` has ended.
   void OnExit(uint64_t incarnation);
 
-  //! Lower bound, by this instance's clock, of the time at which the peer's
-  //! clock showed `time`; nullopt before the first echo.
+  //! Earliest time on this instance's clock at which the peer's clock can have
+  //! shown `time`; nullopt before the first echo.
   static std::optional<Millis> LocalTime(const Peer& peer, Millis time);
 
-  //! Peers that are due a heartbeat now; each is due again one period later.
+  //! Addresses to which a heartbeat is due now. Each is due again about one
+  //! period later.
   std::vector<std::string> Due(Millis now);
 
-  //! Header of the next heartbeat to `address`.
+  //! The next heartbeat to `address`, without endpoint reports.
   Heartbeat MakeHeartbeat(Millis now,
                           const std::string& address,
                           uint64_t config_version,
                           bool draining);
 
-  //! Heard from lately, in both directions, and not draining; without this
-  //! instance.
+  //! Incarnations of the live peers that are not draining, without this
+  //! instance. A peer is live if heartbeats arrived in both directions within
+  //! the suspicion timeout.
   std::vector<uint64_t> LivePeers(Millis now) const;
 
-  //! Number of peers heard from lately, draining ones included.
-  size_t HeardPeers(Millis now) const;
+  //! Number of live peers, including draining ones.
+  size_t CountHeardPeers(Millis now) const;
 
-  //! LivePeers and, unless it drains, this instance: the candidates for roles.
+  //! Candidates for roles: LivePeers and, unless `draining`, this instance.
   std::vector<uint64_t> Candidates(Millis now, bool draining) const;
 
-  //! Incarnations that have been silent too long.
+  //! Incarnations of known peers that are not live.
   std::vector<uint64_t> Suspected(Millis now) const;
 
   const Peer* ByIncarnation(uint64_t incarnation) const;
@@ -94,16 +100,20 @@
   }
 
  private:
-  bool Live(Millis now, const Peer& peer) const;
-  Millis Period() const;
-  static void TightenOffset(Millis now, const Heartbeat& heartbeat, Peer& peer);
+  //! Whether heartbeats arrived in both directions within the suspicion
+  //! timeout.
+  bool IsLive(Millis now, const Peer& peer) const;
+  Millis HeartbeatPeriod() const;
+  static void UpdateClockOffset(Millis now,
+                                const Heartbeat& heartbeat,
+                                Peer& peer);
 
   InstanceId self_;
   std::string data_centre_;
   Options options_;
   uint64_t sequence_ = 0;
-  std::map<std::string, Peer> peers_;  //!< By address.
-  std::map<std::string, Millis> due_;
+  std::map<std::string, Peer> peers_;                //!< By address.
+  std::map<std::string, Millis> next_heartbeat_at_;  //!< By address.
   std::map<uint64_t, Millis> exited_;
 };
 
