--- a/tests/coordination/coordinator_test.cpp
+++ b/tests/coordination/coordinator_test.cpp
@@ -18,7 +18,8 @@
                                                  options_, &codec_);
   }
 
-  //! The next entry of a stream, by a writer of its own.
+  //! Passes the next entry of a stream, written by a new writer, to the
+  //! coordinator.
   void Feed(const std::string& stream, Record record) {
     const uint64_t offset = ++ends_[stream];
     const Batch batch{1000 + offset, 1, "", Millis(1), {std::move(record)}};
@@ -33,19 +34,20 @@
   Millis now_{1000};
 };
 
-// tools/faults.sh once ended with exit code 134: a peer's release arrived
-// between the instance's exit record and its end.
-TEST_F(CoordinatorTest, ReleaseAfterItsExitRecordDoesNotStopIt) {
+// Guards against an abort during shutdown (exit code 134 in tools/faults.sh): a
+// peer's release arrived after the instance's exit record and before the end of
+// its process.
+TEST_F(CoordinatorTest, ReleaseAfterOwnExitRecordIsIgnored) {
   coordinator_->Drain();
   coordinator_->Leave();
   Feed("ledger-0", Release{1, "swept", {}});
 }
 
-TEST_F(CoordinatorTest, ReleaseWhileItServesStopsIt) {
+TEST_F(CoordinatorTest, ReleaseOfRunningInstanceTerminatesProcess) {
   EXPECT_DEATH(Feed("ledger-0", Release{1, "operator", {}}), "released");
 }
 
-TEST_F(CoordinatorTest, ConfigurationNeverReverts) {
+TEST_F(CoordinatorTest, OlderConfigurationIsIgnored) {
   Feed("control", Configuration{0, "first", "", {}});
   EXPECT_EQ(coordinator_->config_version(), 1u);
   ConfigReply newer{7, Configuration{1, "next", "", {}}};
@@ -55,7 +57,7 @@
   EXPECT_EQ(coordinator_->config_version(), 7u);
 }
 
-TEST_F(CoordinatorTest, NoPartIsTakenBeforeJoinAndConfiguration) {
+TEST_F(CoordinatorTest, NotReadyBeforeJoinAndConfiguration) {
   coordinator_->OnTick(now_, now_);
   EXPECT_FALSE(coordinator_->ready());
   Feed("control", Configuration{0, "first", "", {}});
@@ -66,45 +68,46 @@
   EXPECT_TRUE(coordinator_->ready());
 }
 
-TEST_F(CoordinatorTest, ExitOfAnotherDataCentreStartsNoSweep) {
+TEST_F(CoordinatorTest, ExitInAnotherDataCentreStartsNoSweep) {
   Feed("control", Join{5, "10.1.0.1:1", "other"});
   Feed("control", Exit{5, "refused"});
   EXPECT_EQ(coordinator_->Status(now_).open_sweeps, 0u);
 }
 
-// Configuration under faults, over the whole fleet.
+// Propagation of a configuration through a fleet with faults.
 
-//! How a fleet is hindered while a configuration is published.
-struct SpreadCase {
+//! A fault that is present while a configuration is published.
+struct FaultCase {
   const char* name;
-  std::function<void(FakeFleet&)> hinder;
-  std::function<void(FakeFleet&)> heal;
+  std::function<void(FakeFleet&)> inject_fault;
+  std::function<void(FakeFleet&)> clear_fault;
 };
 
-TEST(ConfigurationSpreadTest, InForceSixSecondsAfterAnInstanceCanHearOfIt) {
-  const SpreadCase kCases[] = {
+TEST(ConfigurationPropagationTest,
+     ReachesAllInstancesWithinSixSecondsOfRecovery) {
+  const FaultCase kCases[] = {
       {"no fault", [](auto&) {}, [](auto&) {}},
       {"one data centre cut from the log",
        [](auto& it) { it.CutFromLog(1, true); },
        [](auto& it) { it.CutFromLog(1, false); }},
-      {"log down afterwards", [](auto& it) { it.SetLogDown(true); },
+      {"no instance reaches the log", [](auto& it) { it.SetLogDown(true); },
        [](auto& it) { it.SetLogDown(false); }},
-      {"an instance restarts", [](auto& it) { it.Kill(0); },
+      {"an instance is killed and restarted", [](auto& it) { it.Kill(0); },
        [](auto& it) { it.Restart(0); }},
       {"an instance is paused", [](auto& it) { it.Pause(1); },
        [](auto& it) { it.Wake(1); }},
   };
-  for (const SpreadCase& it : kCases) {
+  for (const FaultCase& it : kCases) {
     FakeFleet::Options options;
     options.coordinator.shards = 1;
     FakeFleet fleet(options);
     fleet.Publish(0, "first");
     fleet.RunFor(kSecond * 4);
-    it.hinder(fleet);
+    it.inject_fault(fleet);
     const uint64_t version =
         fleet.Publish(fleet.coordinator(2).config_version(), "next");
     fleet.RunFor(kSecond * 20);
-    it.heal(fleet);
+    it.clear_fault(fleet);
     fleet.RunFor(kSecond * 6);
     for (size_t i = 0; i < fleet.size(); ++i) {
       EXPECT_EQ(fleet.coordinator(i).config_version(), version) << it.name;
@@ -112,7 +115,8 @@
   }
 }
 
-TEST(ConfigurationSpreadTest, InstanceCutFromTheLogCatchesUpFromAPeer) {
+TEST(ConfigurationPropagationTest,
+     InstanceCutFromLogGetsConfigurationFromPeer) {
   FakeFleet::Options options;
   options.data_centres = 1;
   options.coordinator.shards = 1;
@@ -122,7 +126,7 @@
   const uint64_t before = fleet.coordinator(0).config_version();
   fleet.CutFromLog(0, true);
   const uint64_t version = fleet.Publish(before, "next");
-  // One of the two has read it before the cut took effect on it.
+  // Instance 1 read the new version before it was cut from the log.
   fleet.coordinator(1).OnMessage(fleet.now(), fleet.now(), 99,
                                  ConfigReply{version, {}});
   fleet.RunFor(kSecond * 6);
