--- a/src/coordination/coordinator.h
+++ b/src/coordination/coordinator.h
@@ -141,7 +141,7 @@
   //! Drained(); then wait for Drained() again.
   void Leave();
 
-  // Output. Each Take function returns what has collected since its last call.
+  // Output. The Take functions hand over each item once.
 
   std::vector<Outbox::Letter> TakeLetters();
   std::vector<AppendOrder> TakeAppends(Millis now, Millis wall);
