--- a/src/coordination/draw_each_policy.h
+++ b/src/coordination/draw_each_policy.h
@@ -8,18 +8,19 @@
 
 namespace tamaracktrail {
 
-//! Baseline: each request's tokens are drawn through the log, and what it did
-//! not use goes back at once. Immutable.
+//! Baseline for comparisons: draws the tokens of each request through the log
+//! and returns the unused part at once. Immutable.
 class DrawEachPolicy {
  public:
-  int64_t Draw(const StockView& view) const {
-    return std::clamp<int64_t>(view.queued - view.available, 0, view.undrawn);
+  int64_t Draw(const ShareView& view) const {
+    return std::clamp<int64_t>(view.queued_tokens - view.available, 0,
+                               view.undrawn);
   }
-  int64_t Surplus(const StockView& view) const {
-    return std::max<int64_t>(view.available - view.queued, 0);
+  int64_t Surplus(const ShareView& view) const {
+    return std::max<int64_t>(view.available - view.queued_tokens, 0);
   }
-  int64_t Yield(const StockView& view, int64_t) const { return Surplus(view); }
-  bool asks_others() const { return false; }
+  int64_t Yield(const ShareView& view, int64_t) const { return Surplus(view); }
+  bool requests_from_others() const { return false; }
 };
 
 }  // namespace tamaracktrail
--- a/src/coordination/escrow_policy.cpp
+++ b/src/coordination/escrow_policy.cpp
@@ -6,57 +6,65 @@
 
 namespace {
 
-constexpr int64_t kStockedRequests = 4;  //!< Least stock, in worst cases.
-constexpr int64_t kSurplusFactor = 2;  //!< Stock above target x this goes back.
+//! Minimum target, in requests of the largest worst case.
+constexpr int64_t kMinTargetRequests = 4;
+//! Surplus is returned once idle tokens exceed this multiple of the target.
+constexpr int64_t kSurplusFactor = 2;
+//! Seconds of demand that a keeper retains when another one requests tokens.
 constexpr double kYieldCoverSeconds = 1;
-// Drawing starts below this part of the target, in fifths.
+// Tokens are drawn once the available ones fall below 4/5 of the target.
 constexpr int64_t kRefillNumerator = 4;
 constexpr int64_t kRefillDenominator = 5;
 
 }  // namespace
 
-int64_t EscrowPolicy::Target(const StockView& view) const {
+int64_t EscrowPolicy::Target(const ShareView& view) const {
   const int64_t even_split = (view.undrawn + view.share) / view.data_centres;
   const auto limit =
-      static_cast<int64_t>(hold_ * static_cast<double>(even_split));
-  // Less than one request's worst case would lie idle here.
-  if (limit < view.largest) {
+      static_cast<int64_t>(hold_fraction_ * static_cast<double>(even_split));
+  // Less than the largest worst case could not serve that request and would
+  // only be withheld from other keepers.
+  if (limit < view.largest_request) {
     return 0;
   }
-  const auto demand =
-      static_cast<int64_t>(view.demand * static_cast<double>(cover_.count()) /
-                           static_cast<double>(kSecond.count()));
-  return std::min(limit, std::max(demand, kStockedRequests * view.largest));
+  const auto demand = static_cast<int64_t>(
+      view.demand_per_second * static_cast<double>(demand_cover_.count()) /
+      static_cast<double>(kSecond.count()));
+  return std::min(limit,
+                  std::max(demand, kMinTargetRequests * view.largest_request));
 }
 
-int64_t EscrowPolicy::Draw(const StockView& view) const {
+int64_t EscrowPolicy::Draw(const ShareView& view) const {
   const int64_t target = Target(view);
-  const bool stocked =
+  const bool enough =
       view.available * kRefillDenominator >= target * kRefillNumerator;
-  if (view.queued <= view.available && stocked) {
+  if (view.queued_tokens <= view.available && enough) {
     return 0;
   }
-  const int64_t missing = view.queued + target - view.available;
-  return std::clamp<int64_t>(missing, 0, view.undrawn);
+  const int64_t shortfall = view.queued_tokens + target - view.available;
+  return std::clamp<int64_t>(shortfall, 0, view.undrawn);
 }
 
-int64_t EscrowPolicy::Surplus(const StockView& view) const {
+int64_t EscrowPolicy::Surplus(const ShareView& view) const {
   const int64_t target = Target(view);
-  const int64_t idle = view.available - view.queued;
+  const int64_t idle = view.available - view.queued_tokens;
   if (target == 0) {
-    // Near the budget's end: a rest that serves no request goes back.
-    return idle < view.largest ? std::max<int64_t>(idle, 0) : 0;
+    // Near the end of the budget: return a remainder that is too small for the
+    // largest request.
+    return idle < view.largest_request ? std::max<int64_t>(idle, 0) : 0;
   }
   const int64_t excess = idle - kSurplusFactor * target;
-  return excess > view.largest ? excess + target : 0;
+  return excess > view.largest_request ? excess + target : 0;
 }
 
-int64_t EscrowPolicy::Yield(const StockView& view, int64_t wanted) const {
-  // A rest that serves few requests here may serve one elsewhere.
-  const bool scarce = view.available < kStockedRequests * view.largest;
-  const auto keep =
-      scarce ? 0 : static_cast<int64_t>(view.demand * kYieldCoverSeconds);
-  const int64_t idle = view.available - view.queued - keep;
+int64_t EscrowPolicy::Yield(const ShareView& view, int64_t wanted) const {
+  // A remainder of only a few requests is released in full, because it may
+  // complete a reservation at another keeper.
+  const bool low = view.available < kMinTargetRequests * view.largest_request;
+  const auto kept_tokens =
+      low ? 0
+          : static_cast<int64_t>(view.demand_per_second * kYieldCoverSeconds);
+  const int64_t idle = view.available - view.queued_tokens - kept_tokens;
   return std::clamp<int64_t>(idle, 0, wanted);
 }
 
--- a/src/coordination/escrow_policy.h
+++ b/src/coordination/escrow_policy.h
@@ -8,28 +8,31 @@
 
 namespace tamaracktrail {
 
-//! The product's share policy: stocks by recent demand while the budget is
-//! rich, draws less as it runs low, and gives up idle tokens on request.
-//! Immutable.
+//! The share policy used in production: holds tokens in advance according to
+//! the smoothed demand while the budget is ample, draws less as the budget runs
+//! low, and returns idle tokens when another keeper requests them. Immutable.
 class EscrowPolicy {
  public:
-  //! `hold` in [0, 1] is the part of an even split that a keeper may stock
-  //! ahead of demand: 0 holds nothing ahead (tokens are rarely where they are
-  //! not wanted, but a cut-off data centre soon refuses), 1 stocks the whole
-  //! even split. `cover` is the demand that stock is to last for.
-  EscrowPolicy(double hold, Millis cover) : hold_(hold), cover_(cover) {}
-
-  int64_t Draw(const StockView& view) const;
-  int64_t Surplus(const StockView& view) const;
-  int64_t Yield(const StockView& view, int64_t wanted) const;
-  bool asks_others() const { return true; }
+  //! `hold_fraction` in [0, 1] is the part of an even split between the data
+  //! centres that a keeper may hold in advance. With 0 it holds nothing in
+  //! advance: few tokens are idle in the wrong data centre, but a data centre
+  //! that loses its connection soon refuses requests. With 1 it holds up to the
+  //! complete even split. `demand_cover` is the time for which the tokens held
+  //! in advance should cover the demand.
+  EscrowPolicy(double hold_fraction, Millis demand_cover)
+      : hold_fraction_(hold_fraction), demand_cover_(demand_cover) {}
+
+  int64_t Draw(const ShareView& view) const;
+  int64_t Surplus(const ShareView& view) const;
+  int64_t Yield(const ShareView& view, int64_t wanted) const;
+  bool requests_from_others() const { return true; }
 
  private:
-  //! Stock to have ahead of the queue.
-  int64_t Target(const StockView& view) const;
+  //! Tokens to hold in advance, beyond those that queued requests need.
+  int64_t Target(const ShareView& view) const;
 
-  double hold_;
-  Millis cover_;
+  double hold_fraction_;
+  Millis demand_cover_;
 };
 
 }  // namespace tamaracktrail
--- a/src/coordination/keeper.cpp
+++ b/src/coordination/keeper.cpp
@@ -33,19 +33,19 @@
     }
     return;
   }
-  if (const std::optional<ResultCode> code = Obstacle(request, wall)) {
+  if (const std::optional<ResultCode> code = ImmediateRefusal(request, wall)) {
     Reply(request, *code, outbox);
     return;
   }
-  Book& book = books_[request.organisation];
-  book.largest = std::max(book.largest, request.tokens);
-  book.queue.push_back({request, now + options_.reserve_wait});
+  Account& account = accounts_[request.organisation];
+  account.largest_request = std::max(account.largest_request, request.tokens);
+  account.queue.push_back({request, now + options_.reserve_wait});
   ServeQueue(now, request.organisation, outbox);
-  Stock(now, request.organisation, outbox);
+  RequestTokens(now, request.organisation, outbox);
 }
 
 template <SharePolicy Policy>
-std::optional<ResultCode> Keeper<Policy>::Obstacle(
+std::optional<ResultCode> Keeper<Policy>::ImmediateRefusal(
     const ReserveRequest& request,
     Millis wall) const {
   if (fold_->KeyTooOld(request.key, wall)) {
@@ -89,20 +89,20 @@
       return true;
     }
   }
-  const auto book = books_.find(request.organisation);
-  return book != books_.end() &&
-         std::any_of(book->second.queue.begin(), book->second.queue.end(),
-                     [&](const Waiting& it) { return same(it.request); });
+  const auto account = accounts_.find(request.organisation);
+  return account != accounts_.end() &&
+         std::any_of(account->second.queue.begin(), account->second.queue.end(),
+                     [&](const QueuedRequest& it) { return same(it.request); });
 }
 
 template <SharePolicy Policy>
 void Keeper<Policy>::Grant(Millis now,
                            const ReserveRequest& request,
                            Outbox& outbox) {
-  books_[request.organisation].reserved += request.tokens;
+  accounts_[request.organisation].reserved += request.tokens;
   reservations_[request.attempt] =
       Reservation{request, !request.claim, now + options_.claim_wait,
-                  now + options_.query_after};
+                  now + options_.query_interval};
   if (!request.claim) {
     Reply(request, ResultCode::kOk, outbox);
     return;
@@ -126,9 +126,9 @@
   if (it == reservations_.end()) {
     return;
   }
-  Book& book = books_[it->second.request.organisation];
-  book.reserved -= it->second.request.tokens;
-  CHECK_GE(book.reserved, 0);
+  Account& account = accounts_[it->second.request.organisation];
+  account.reserved -= it->second.request.tokens;
+  CHECK_GE(account.reserved, 0);
   reservations_.erase(it);
 }
 
@@ -149,16 +149,16 @@
     return;
   }
   CHECK_LE(charge.tokens, it->second.request.tokens)
-      << "a charge exceeds its reservation";
+      << "charge exceeds its reservation";
   EndReservation(charge.attempt);
-  Book& book = books_[charge.organisation];
-  book.pending_charges += charge.tokens;
-  book.demand.Add(now, charge.tokens);
+  Account& account = accounts_[charge.organisation];
+  account.pending_charges += charge.tokens;
+  account.demand.Add(now, charge.tokens);
   pending_charges_[charge.attempt] = PendingCharge{
       charge.organisation, charge.key, charge.tokens, charge.entry};
   outbox.Append(charge);
   outbox.Send(charge.entry, SettleReply{charge.attempt});
-  CheckBook(charge.organisation);
+  CheckBalance(charge.organisation);
   ServeQueue(now, charge.organisation, outbox);
 }
 
@@ -169,8 +169,8 @@
   if (end.abandon) {
     outbox.Append(Abandon{end.organisation, end.key, end.attempt});
   }
-  Book& book = books_[end.organisation];
-  std::erase_if(book.queue, [&](const Waiting& it) {
+  Account& account = accounts_[end.organisation];
+  std::erase_if(account.queue, [&](const QueuedRequest& it) {
     return it.request.attempt == end.attempt;
   });
   EndReservation(end.attempt);
@@ -182,23 +182,23 @@
                                const AppliedBatch& batch,
                                Outbox& outbox) {
   CHECK(!fold_->HolderExited(self_))
-      << "this instance's shares were released while it runs";
-  touched_.clear();
+      << "shares of this instance were released while it is running";
+  updated_organisations_.clear();
   for (size_t i = 0; i < batch.batch.records.size(); ++i) {
     std::visit(
         [&](const auto& it) {
           On(now, it, batch, batch.verdicts[i], outbox);
           if constexpr (requires { it.organisation; }) {
-            touched_.insert(it.organisation);
+            updated_organisations_.insert(it.organisation);
           }
         },
         batch.batch.records[i]);
   }
-  for (const std::string& it : touched_) {
-    if (books_.contains(it)) {
-      CheckBook(it);
+  for (const std::string& it : updated_organisations_) {
+    if (accounts_.contains(it)) {
+      CheckBalance(it);
       ServeQueue(now, it, outbox);
-      Stock(now, it, outbox);
+      RequestTokens(now, it, outbox);
     }
   }
 }
@@ -209,15 +209,17 @@
                         const AppliedBatch&,
                         FoldVerdict verdict,
                         Outbox& outbox) {
-  // A fenced append settles nothing: this keeper's own one may follow.
+  // A fenced append does not settle the reservation; this keeper's own append
+  // of the charge may follow.
   if (record.holder != self_ || verdict == FoldVerdict::kHolderExited) {
     return;
   }
-  // The charge may have been appended by another custodian.
+  // Another instance with custody of the charge may have appended it before
+  // this keeper learned of it.
   EndReservation(record.attempt);
   auto it = pending_charges_.find(record.attempt);
   if (it != pending_charges_.end()) {
-    books_[record.organisation].pending_charges -= it->second.tokens;
+    accounts_[record.organisation].pending_charges -= it->second.tokens;
     pending_charges_.erase(it);
   }
   outbox.Send(record.entry, ChargeConfirmed{record.attempt});
@@ -235,11 +237,11 @@
   if (record.holder != self_ || batch.batch.writer != self_) {
     return;
   }
-  Book& book = books_[record.organisation];
-  book.draws_in_flight -= record.tokens;
+  Account& account = accounts_[record.organisation];
+  account.pending_draws -= record.tokens;
   if (verdict == FoldVerdict::kAccepted) {
-    book.drawn += record.tokens;
-    book.want_offset.reset();
+    account.drawn += record.tokens;
+    account.share_request_offset.reset();
   }
 }
 
@@ -252,10 +254,10 @@
   if (record.holder != self_ || batch.batch.writer != self_) {
     return;
   }
-  CHECK(verdict == FoldVerdict::kAccepted) << "a return exceeded its share";
-  Book& book = books_[record.organisation];
-  book.pending_returns -= record.tokens;
-  CHECK_GE(book.pending_returns, 0);
+  CHECK(verdict == FoldVerdict::kAccepted) << "return record exceeds the share";
+  Account& account = accounts_[record.organisation];
+  account.pending_returns -= record.tokens;
+  CHECK_GE(account.pending_returns, 0);
 }
 
 template <SharePolicy Policy>
@@ -264,23 +266,24 @@
                         const AppliedBatch& batch,
                         FoldVerdict,
                         Outbox& outbox) {
-  auto it = books_.find(record.organisation);
+  auto it = accounts_.find(record.organisation);
   if (record.holder == self_) {
-    if (it != books_.end() && !it->second.want_offset.has_value()) {
-      it->second.want_offset = batch.offset;
+    if (it != accounts_.end() && !it->second.share_request_offset.has_value()) {
+      it->second.share_request_offset = batch.offset;
     }
     return;
   }
-  if (it == books_.end()) {
+  if (it == accounts_.end()) {
     return;
   }
-  // Of two keepers that are both short, the one whose want came first keeps.
-  const Book& book = it->second;
-  if (!book.queue.empty() && book.want_offset.has_value()) {
+  // If both keepers have queued requests, the one whose share request is first
+  // on the log retains its tokens.
+  const Account& account = it->second;
+  if (!account.queue.empty() && account.share_request_offset.has_value()) {
     return;
   }
-  const StockView view = ViewOf(now, record.organisation);
-  GiveBack(record.organisation, policy_.Yield(view, record.tokens), outbox);
+  const ShareView view = ViewOf(now, record.organisation);
+  ReturnTokens(record.organisation, policy_.Yield(view, record.tokens), outbox);
 }
 
 template <SharePolicy Policy>
@@ -316,9 +319,10 @@
 
 template <SharePolicy Policy>
 void Keeper<Policy>::OnEntryExit(uint64_t entry, Outbox& outbox) {
-  for (auto& [organisation, book] : books_) {
-    std::erase_if(book.queue,
-                  [&](const Waiting& it) { return it.request.entry == entry; });
+  for (auto& [organisation, account] : accounts_) {
+    std::erase_if(account.queue, [&](const QueuedRequest& it) {
+      return it.request.entry == entry;
+    });
   }
   const bool reserves = std::any_of(
       reservations_.begin(), reservations_.end(),
@@ -335,17 +339,17 @@
                         FoldVerdict,
                         Outbox&) {
   if (record.holder == self_) {
-    FreeEntry(record.entry);
+    EndReservationsOf(record.entry);
   }
 }
 
 template <SharePolicy Policy>
-void Keeper<Policy>::FreeEntry(uint64_t entry) {
+void Keeper<Policy>::EndReservationsOf(uint64_t entry) {
   std::vector<uint64_t> attempts;
   for (const auto& [attempt, it] : reservations_) {
     if (it.request.entry == entry) {
       attempts.push_back(attempt);
-      touched_.insert(it.request.organisation);
+      updated_organisations_.insert(it.request.organisation);
     }
   }
   for (const uint64_t it : attempts) {
@@ -358,29 +362,31 @@
   serving_ = serving;
   ExpireClaims(now, outbox);
   QueryEntries(now, outbox);
-  for (auto& [organisation, book] : books_) {
+  for (auto& [organisation, account] : accounts_) {
     ExpireQueue(now, organisation, outbox);
-    if (!book.queue.empty()) {
-      Stock(now, organisation, outbox);
+    if (!account.queue.empty()) {
+      RequestTokens(now, organisation, outbox);
       continue;
     }
     const int64_t available = Available(organisation);
-    GiveBack(organisation,
-             serving ? policy_.Surplus(ViewOf(now, organisation)) : available,
-             outbox);
+    ReturnTokens(
+        organisation,
+        serving ? policy_.Surplus(ViewOf(now, organisation)) : available,
+        outbox);
   }
 }
 
 template <SharePolicy Policy>
 void Keeper<Policy>::ExpireClaims(Millis now, Outbox& outbox) {
-  std::vector<ReserveRequest> late;
+  std::vector<ReserveRequest> expired;
   for (const auto& [attempt, it] : reservations_) {
     if (!it.claimed && now >= it.claim_deadline) {
-      late.push_back(it.request);
+      expired.push_back(it.request);
     }
   }
-  for (const ReserveRequest& it : late) {
-    // The claim may still take effect; the entry never dispatches it.
+  for (const ReserveRequest& it : expired) {
+    // The claim may still be accepted later, but the entry never dispatches its
+    // call, so it can be abandoned.
     EndReservation(it.attempt);
     outbox.Append(Abandon{it.organisation, it.key, it.attempt});
     Reply(it, ResultCode::kLogUnavailable, outbox);
@@ -392,7 +398,7 @@
   std::map<uint64_t, ReservationQuery> queries;
   for (auto& [attempt, it] : reservations_) {
     if (it.claimed && now >= it.query_at) {
-      it.query_at = now + options_.query_after;
+      it.query_at = now + options_.query_interval;
       queries[it.request.entry].attempts.push_back(attempt);
     }
   }
@@ -405,84 +411,86 @@
 void Keeper<Policy>::ExpireQueue(Millis now,
                                  const std::string& organisation,
                                  Outbox& outbox) {
-  std::deque<Waiting>& queue = books_[organisation].queue;
+  std::deque<QueuedRequest>& queue = accounts_[organisation].queue;
   while (!queue.empty() && now >= queue.front().deadline) {
     const ReserveRequest request = queue.front().request;
     queue.pop_front();
-    Reply(request, RefusalCode(request), outbox);
+    Reply(request, QueueTimeoutCode(request), outbox);
   }
 }
 
 template <SharePolicy Policy>
-ResultCode Keeper<Policy>::RefusalCode(const ReserveRequest& request) const {
+ResultCode Keeper<Policy>::QueueTimeoutCode(
+    const ReserveRequest& request) const {
   const Budget& budget = fold_->BudgetOf(request.organisation);
   if (budget.prepaid - budget.charged < request.tokens) {
     return ResultCode::kBudgetExhausted;
   }
-  const auto book = books_.find(request.organisation);
-  const bool log_silent =
-      book != books_.end() && book->second.draws_in_flight > 0;
-  return log_silent ? ResultCode::kBudgetUnavailable
-                    : ResultCode::kBudgetHeldElsewhere;
+  const auto account = accounts_.find(request.organisation);
+  const bool draw_pending =
+      account != accounts_.end() && account->second.pending_draws > 0;
+  return draw_pending ? ResultCode::kBudgetUnavailable
+                      : ResultCode::kBudgetHeldElsewhere;
 }
 
 template <SharePolicy Policy>
-StockView Keeper<Policy>::ViewOf(Millis now,
+ShareView Keeper<Policy>::ViewOf(Millis now,
                                  const std::string& organisation) const {
   const Budget& budget = fold_->BudgetOf(organisation);
-  StockView view;
+  ShareView view;
   view.prepaid = budget.prepaid;
   view.undrawn = budget.undrawn;
   view.share = budget.Share(self_);
   view.available = Available(organisation);
   view.data_centres = options_.data_centres;
-  auto it = books_.find(organisation);
-  if (it != books_.end()) {
+  auto it = accounts_.find(organisation);
+  if (it != accounts_.end()) {
     view.drawn = it->second.drawn;
-    view.largest = it->second.largest;
-    view.demand = it->second.demand.PerSecond(now);
-    for (const Waiting& waiting : it->second.queue) {
-      view.queued += waiting.request.tokens;
+    view.largest_request = it->second.largest_request;
+    view.demand_per_second = it->second.demand.PerSecond(now);
+    for (const QueuedRequest& queued : it->second.queue) {
+      view.queued_tokens += queued.request.tokens;
     }
   }
   return view;
 }
 
 template <SharePolicy Policy>
-void Keeper<Policy>::Stock(Millis now,
-                           const std::string& organisation,
-                           Outbox& outbox) {
-  Book& book = books_[organisation];
-  if (book.draws_in_flight > 0) {
+void Keeper<Policy>::RequestTokens(Millis now,
+                                   const std::string& organisation,
+                                   Outbox& outbox) {
+  Account& account = accounts_[organisation];
+  if (account.pending_draws > 0) {
     return;
   }
-  const StockView view = ViewOf(now, organisation);
-  // A keeper that hands over draws for waiting requests only.
+  const ShareView view = ViewOf(now, organisation);
+  // A keeper that has stopped serving draws only what queued requests need.
   const int64_t queued =
-      std::clamp<int64_t>(view.queued - view.available, 0, view.undrawn);
+      std::clamp<int64_t>(view.queued_tokens - view.available, 0, view.undrawn);
   const int64_t draw = serving_ ? policy_.Draw(view) : queued;
   if (draw > 0) {
-    book.draws_in_flight += draw;
+    account.pending_draws += draw;
     outbox.Append(Draw{organisation, self_, draw});
   }
-  const int64_t missing = view.queued - view.available - draw;
-  const bool due = !book.wanted_at.has_value() ||
-                   now >= *book.wanted_at + options_.want_interval;
-  if (missing > 0 && due && policy_.asks_others()) {
-    book.wanted_at = now;
-    outbox.Append(Want{organisation, self_, missing});
+  const int64_t shortfall = view.queued_tokens - view.available - draw;
+  const bool request_due =
+      !account.share_requested_at.has_value() ||
+      now >= *account.share_requested_at + options_.share_request_interval;
+  if (shortfall > 0 && request_due && policy_.requests_from_others()) {
+    account.share_requested_at = now;
+    outbox.Append(Want{organisation, self_, shortfall});
   }
 }
 
 template <SharePolicy Policy>
-void Keeper<Policy>::GiveBack(const std::string& organisation,
-                              int64_t tokens,
-                              Outbox& outbox) {
+void Keeper<Policy>::ReturnTokens(const std::string& organisation,
+                                  int64_t tokens,
+                                  Outbox& outbox) {
   if (tokens <= 0) {
     return;
   }
   CHECK_LE(tokens, Available(organisation));
-  books_[organisation].pending_returns += tokens;
+  accounts_[organisation].pending_returns += tokens;
   outbox.Append(Return{organisation, self_, tokens});
 }
 
@@ -490,41 +498,43 @@
 void Keeper<Policy>::ServeQueue(Millis now,
                                 const std::string& organisation,
                                 Outbox& outbox) {
-  Book& book = books_[organisation];
-  while (!book.queue.empty() &&
-         book.queue.front().request.tokens <= Available(organisation)) {
-    const ReserveRequest request = book.queue.front().request;
-    book.queue.pop_front();
+  Account& account = accounts_[organisation];
+  while (!account.queue.empty() &&
+         account.queue.front().request.tokens <= Available(organisation)) {
+    const ReserveRequest request = account.queue.front().request;
+    account.queue.pop_front();
     Grant(now, request, outbox);
   }
-  if (book.queue.empty()) {
-    book.want_offset.reset();
+  if (account.queue.empty()) {
+    account.share_request_offset.reset();
   }
-  CheckBook(organisation);
+  CheckBalance(organisation);
 }
 
 template <SharePolicy Policy>
 int64_t Keeper<Policy>::Available(const std::string& organisation) const {
   const int64_t share = fold_->BudgetOf(organisation).Share(self_);
-  auto it = books_.find(organisation);
-  if (it == books_.end()) {
+  auto it = accounts_.find(organisation);
+  if (it == accounts_.end()) {
     return share;
   }
-  const Book& book = it->second;
-  return share - book.reserved - book.pending_charges - book.pending_returns;
+  const Account& account = it->second;
+  return share - account.reserved - account.pending_charges -
+         account.pending_returns;
 }
 
 template <SharePolicy Policy>
-void Keeper<Policy>::CheckBook(const std::string& organisation) const {
+void Keeper<Policy>::CheckBalance(const std::string& organisation) const {
   CHECK_GE(Available(organisation), 0)
-      << "organisation=" << organisation << " is promised more than its share";
+      << "organisation=" << organisation
+      << " reservations, pending charges and returns exceed the share";
 }
 
 template <SharePolicy Policy>
 int64_t Keeper<Policy>::reserved() const {
   int64_t sum = 0;
-  for (const auto& [organisation, book] : books_) {
-    sum += book.reserved;
+  for (const auto& [organisation, account] : accounts_) {
+    sum += account.reserved;
   }
   return sum;
 }
@@ -532,8 +542,8 @@
 template <SharePolicy Policy>
 size_t Keeper<Policy>::queue_length() const {
   size_t n = 0;
-  for (const auto& [organisation, book] : books_) {
-    n += book.queue.size();
+  for (const auto& [organisation, account] : accounts_) {
+    n += account.queue.size();
   }
   return n;
 }
--- a/src/coordination/keeper.h
+++ b/src/coordination/keeper.h
@@ -19,61 +19,71 @@
 
 namespace tamaracktrail {
 
-//! Keeps this instance's shares of the budgets of one ledger shard: grants
+//! Manages this instance's shares of the budgets of one ledger shard: grants
 //! reservations from them, turns settled reservations into charges, and claims
 //! non-repeatable requests on the log.
 //!
-//! A reservation ends by evidence only: a settlement, the entry's own word, a
-//! charge on the log, or the entry's observed exit; never by a timeout. Not
-//! thread-safe.
+//! A granted reservation ends only by evidence: a settlement, a message of the
+//! entry, a charge on the log, or the observed exit of the entry. It never
+//! times out. Only a reservation whose claim is pending does. Not thread-safe.
 template <SharePolicy Policy>
 class Keeper {
  public:
   struct Options {
-    Millis reserve_wait{2000};  //!< Longest wait for tokens before a refusal.
-    Millis claim_wait{3000};    //!< Longest wait for a claim's read-back.
-    Millis want_interval{500};  //!< Between two wants for one budget.
-    Millis query_after{5000};   //!< Age at which an entry is asked whether a
-                                //!< reservation has ended, and again.
+    //! Longest wait for tokens before a request is refused.
+    Millis reserve_wait{2000};
+    //! Longest wait for a claim to be read back from the log.
+    Millis claim_wait{3000};
+    //! Minimum time between two share requests for one budget.
+    Millis share_request_interval{500};
+    //! Interval at which the entry of an open reservation is queried whether
+    //! the reservation has ended.
+    Millis query_interval{5000};
     int64_t data_centres = 1;
   };
 
-  //! Precondition: `fold` outlives the keeper and is fed before OnApplied.
+  //! Precondition: `fold` outlives the keeper and has applied each batch before
+  //! it is passed to OnApplied.
   Keeper(uint64_t self, Policy policy, Options options, const LedgerFold* fold);
 
-  //! Grants, queues or refuses. Answers with one ReserveReply, now or later.
+  //! Grants, queues or refuses the reservation. The ReserveReply is sent either
+  //! in this call or later. `wall` is the wall clock time.
   void OnReserve(Millis now,
                  Millis wall,
                  const ReserveRequest& request,
                  Outbox& outbox);
 
   //! Takes a charge under this keeper's reservation into custody and answers
-  //! with SettleReply; stays silent where it cannot.
+  //! with SettleReply. Sends no reply if it knows neither the reservation nor
+  //! the charge.
   void OnSettle(Millis now, const SettleRequest& request, Outbox& outbox);
 
-  //! The entry ends its reservation without a charge.
+  //! Handles the end of a reservation without a charge, as reported by its
+  //! entry.
   void OnReservationEnd(Millis now, const ReservationEnd& end, Outbox& outbox);
 
-  //! The fold has taken in a batch.
+  //! Handles a batch that the fold has applied.
   void OnApplied(Millis now, const AppliedBatch& batch, Outbox& outbox);
 
-  //! Frees what the entry had reserved once a fence against its late appends is
-  //! read back. Precondition: the entry's process has exited and no other
-  //! instance holds a charge of it that this keeper does not know.
+  //! Ends the reservations of an exited entry once the fence against its late
+  //! appends is read back. Precondition: the entry's process has exited and no
+  //! other instance holds a charge of it that this keeper does not know.
   void OnEntryExit(uint64_t entry, Outbox& outbox);
 
-  //! Entries without recent heartbeats. Their reservations stay, but a retry of
-  //! their keys is let in.
+  //! Sets the entries without recent heartbeats. Their reservations stay, but
+  //! another request under one of their keys is admitted.
   void SetSuspected(std::set<uint64_t> entries) {
     suspected_ = std::move(entries);
   }
 
-  //! Refuses what waited too long, returns surplus, repeats wants. Call it
-  //! several times a second. `serving` is false where another instance is the
-  //! shard's keeper or this one shuts down: then all idle tokens go back.
+  //! Refuses queued requests and claims that timed out, queries entries,
+  //! returns surplus tokens and repeats share requests. Call it several times a
+  //! second. `serving` is false if another instance is the shard's keeper or
+  //! this one shuts down: then all idle tokens are returned.
   void OnTick(Millis now, bool serving, Outbox& outbox);
 
-  //! Tokens of a budget not reserved or on their way to the log.
+  //! Tokens of the share that are neither reserved nor part of a pending charge
+  //! or return.
   int64_t Available(const std::string& organisation) const;
 
   int64_t reserved() const;
@@ -85,27 +95,28 @@
   size_t queue_length() const;
 
  private:
-  struct Waiting {
+  struct QueuedRequest {
     ReserveRequest request;
     Millis deadline;
   };
 
-  struct Book {
+  struct Account {
     int64_t reserved = 0;
     int64_t pending_charges = 0;
     int64_t pending_returns = 0;
-    int64_t draws_in_flight = 0;
+    int64_t pending_draws = 0;
     int64_t drawn = 0;
-    int64_t largest = 0;
+    int64_t largest_request = 0;
     RateMeter demand{kMinute};
-    std::deque<Waiting> queue;
-    std::optional<Millis> wanted_at;
-    std::optional<uint64_t> want_offset;  //!< Of the want that stands.
+    std::deque<QueuedRequest> queue;
+    std::optional<Millis> share_requested_at;
+    //! Log offset of the open share request.
+    std::optional<uint64_t> share_request_offset;
   };
 
   struct Reservation {
     ReserveRequest request;
-    bool claimed = true;  //!< False while the claim is on its way.
+    bool claimed = true;  //!< False while the claim is pending.
     Millis claim_deadline;
     Millis query_at;
   };
@@ -117,24 +128,26 @@
     uint64_t entry = 0;
   };
 
-  std::optional<ResultCode> Obstacle(const ReserveRequest& request,
-                                     Millis wall) const;
+  std::optional<ResultCode> ImmediateRefusal(const ReserveRequest& request,
+                                             Millis wall) const;
   bool InProgress(const ReserveRequest& request) const;
   void Grant(Millis now, const ReserveRequest& request, Outbox& outbox);
   void Reply(const ReserveRequest& request, ResultCode code, Outbox& outbox);
   void EndReservation(uint64_t attempt);
-  ResultCode RefusalCode(const ReserveRequest& request) const;
-  StockView ViewOf(Millis now, const std::string& organisation) const;
-  void Stock(Millis now, const std::string& organisation, Outbox& outbox);
-  void GiveBack(const std::string& organisation,
-                int64_t tokens,
-                Outbox& outbox);
+  ResultCode QueueTimeoutCode(const ReserveRequest& request) const;
+  ShareView ViewOf(Millis now, const std::string& organisation) const;
+  void RequestTokens(Millis now,
+                     const std::string& organisation,
+                     Outbox& outbox);
+  void ReturnTokens(const std::string& organisation,
+                    int64_t tokens,
+                    Outbox& outbox);
   void ServeQueue(Millis now, const std::string& organisation, Outbox& outbox);
   void ExpireQueue(Millis now, const std::string& organisation, Outbox& outbox);
   void ExpireClaims(Millis now, Outbox& outbox);
   void QueryEntries(Millis now, Outbox& outbox);
-  void FreeEntry(uint64_t entry);
-  void CheckBook(const std::string& organisation) const;
+  void EndReservationsOf(uint64_t entry);
+  void CheckBalance(const std::string& organisation) const;
 
   void On(Millis now,
           const Charge& record,
@@ -173,13 +186,14 @@
   Policy policy_;
   Options options_;
   const LedgerFold* fold_;
-  std::unordered_map<std::string, Book> books_;
+  std::unordered_map<std::string, Account> accounts_;
   std::map<uint64_t, Reservation> reservations_;       //!< By attempt.
   std::map<uint64_t, PendingCharge> pending_charges_;  //!< By attempt.
   std::set<uint64_t> suspected_;
-  //! Budgets touched by the batch that is being taken in. The fold has all of
-  //! the batch already, so books are served and checked only at its end.
-  std::set<std::string> touched_;
+  //! Organisations with records in the batch that is being applied. The fold
+  //! already contains the complete batch, so balances are checked and queues
+  //! served only after its last record.
+  std::set<std::string> updated_organisations_;
   bool serving_ = true;
 };
 
--- a/src/coordination/share_policy.h
+++ b/src/coordination/share_policy.h
@@ -8,18 +8,20 @@
 
 namespace tamaracktrail {
 
-//! Sizes a keeper's share. A policy changes false refusals and log traffic; no
-//! policy can cause overspend, which the ledger fold rules out.
+//! Decides the size of a keeper's share of a budget. The choice of policy
+//! affects the rate of false refusals and the log traffic. No policy can cause
+//! overspend, because the ledger fold accepts draws from undrawn tokens only.
 template <class P>
-concept SharePolicy = requires(const P policy, const StockView& view) {
-  //! Tokens to draw now; 0 for none.
+concept SharePolicy = requires(const P policy, const ShareView& view) {
+  //! Tokens to draw from the undrawn part now; 0 for none.
   { policy.Draw(view) } -> std::same_as<int64_t>;
-  //! Tokens to return unasked.
+  //! Tokens to return without a request from another keeper; 0 for none.
   { policy.Surplus(view) } -> std::same_as<int64_t>;
-  //! Tokens to give up when another keeper wants `wanted`.
+  //! Tokens to return when another keeper requests the given number.
   { policy.Yield(view, int64_t{}) } -> std::same_as<int64_t>;
-  //! Whether to record a want when the undrawn part is empty.
-  { policy.asks_others() } -> std::same_as<bool>;
+  //! Whether to request tokens from other keepers when the undrawn part does
+  //! not cover the queue.
+  { policy.requests_from_others() } -> std::same_as<bool>;
 };
 
 }  // namespace tamaracktrail
--- a/src/coordination/static_split_policy.h
+++ b/src/coordination/static_split_policy.h
@@ -8,17 +8,17 @@
 
 namespace tamaracktrail {
 
-//! Baseline: each data centre draws an equal part of all that is prepaid and
-//! gives nothing back. Immutable.
+//! Baseline for comparisons: each data centre draws an equal part of the
+//! prepaid total and returns nothing. Immutable.
 class StaticSplitPolicy {
  public:
-  int64_t Draw(const StockView& view) const {
-    const int64_t part = view.prepaid / view.data_centres - view.drawn;
-    return std::clamp<int64_t>(part, 0, view.undrawn);
+  int64_t Draw(const ShareView& view) const {
+    const int64_t remaining = view.prepaid / view.data_centres - view.drawn;
+    return std::clamp<int64_t>(remaining, 0, view.undrawn);
   }
-  int64_t Surplus(const StockView&) const { return 0; }
-  int64_t Yield(const StockView&, int64_t) const { return 0; }
-  bool asks_others() const { return false; }
+  int64_t Surplus(const ShareView&) const { return 0; }
+  int64_t Yield(const ShareView&, int64_t) const { return 0; }
+  bool requests_from_others() const { return false; }
 };
 
 }  // namespace tamaracktrail
--- a/src/coordination/stock_view.h
+++ b/src/coordination/stock_view.h
@@ -5,20 +5,20 @@
 
 namespace tamaracktrail {
 
-//! What a share policy may look at when it sizes a keeper's share of one
-//! budget. All amounts in tokens.
-struct StockView {
+//! Input of a share policy: the state of one budget and of one keeper's share
+//! of it. All amounts are in tokens.
+struct ShareView {
   int64_t prepaid = 0;
-  int64_t undrawn = 0;
-  int64_t share = 0;         //!< The keeper's, reservations included.
-  int64_t available = 0;     //!< The keeper's, not reserved.
-  int64_t drawn = 0;         //!< Granted to this keeper so far.
-  int64_t queued = 0;        //!< Worst cases that wait for tokens.
-  int64_t largest = 0;       //!< Largest recent worst case.
-  double demand = 0;         //!< Tokens a second, smoothed.
-  int64_t data_centres = 1;  //!< That share the budget.
+  int64_t undrawn = 0;           //!< Tokens in no keeper's share.
+  int64_t share = 0;             //!< The keeper's share, reservations included.
+  int64_t available = 0;         //!< Part of the share that can be reserved.
+  int64_t drawn = 0;             //!< Total that this keeper has drawn.
+  int64_t queued_tokens = 0;     //!< Sum of the worst cases of queued requests.
+  int64_t largest_request = 0;   //!< Largest worst case requested so far.
+  double demand_per_second = 0;  //!< Exponentially smoothed charge rate.
+  int64_t data_centres = 1;      //!< Data centres that share the budget.
 
-  friend bool operator==(const StockView&, const StockView&) = default;
+  friend bool operator==(const ShareView&, const ShareView&) = default;
 };
 
 }  // namespace tamaracktrail
--- a/tests/coordination/keeper_test.cpp
+++ b/tests/coordination/keeper_test.cpp
@@ -11,7 +11,7 @@
 constexpr uint64_t kEntry = 50;
 constexpr uint64_t kOtherEntry = 51;
 
-//! A keeper whose records reach its fold when Sync is called.
+//! Fixture with one keeper; Sync applies the records that it appended.
 class KeeperTest : public testing::Test {
  protected:
   KeeperTest()
@@ -64,7 +64,7 @@
     keeper_.OnTick(now_, true, outbox_);
   }
 
-  //! Code of the reply to an attempt; 0 for none.
+  //! Code of the last reply to an attempt; 0 if there is none.
   int CodeOf(uint64_t attempt) const {
     int code = 0;
     for (const Outbox::Letter& it : outbox_.letters) {
@@ -86,7 +86,7 @@
   uint64_t offset_ = 0;
 };
 
-TEST_F(KeeperTest, GrantsOnlyAfterItsDrawIsReadBack) {
+TEST_F(KeeperTest, ReservationIsGrantedOnlyAfterTheDrawIsReadBack) {
   Reserve(1, 100, "a");
   EXPECT_EQ(CodeOf(1), 0);
   Sync();
@@ -94,7 +94,7 @@
   EXPECT_EQ(keeper_.reserved(), 100);
 }
 
-TEST_F(KeeperTest, SettlementShrinksTheReservationToTheCharge) {
+TEST_F(KeeperTest, SettlementReplacesTheReservationByTheCharge) {
   Reserve(1, 100, "a");
   Sync();
   Settle(1, 30, "a");
@@ -104,7 +104,7 @@
   EXPECT_EQ(keeper_.pending_charge_count(), 0u);
 }
 
-TEST_F(KeeperTest, NoTimeoutFreesAReservation) {
+TEST_F(KeeperTest, GrantedReservationNeverTimesOut) {
   Reserve(1, 100, "a");
   Sync();
   for (int i = 0; i < 1000; ++i) {
@@ -115,7 +115,7 @@
   EXPECT_GE(keeper_.Available("org"), 0);
 }
 
-TEST_F(KeeperTest, EntryExitFreesItsReservationsOnceTheFenceIsReadBack) {
+TEST_F(KeeperTest, EntryExitEndsReservationsOnceTheFenceIsReadBack) {
   Reserve(1, 100, "a");
   Sync();
   keeper_.OnEntryExit(kEntry, outbox_);
@@ -124,25 +124,26 @@
   EXPECT_EQ(keeper_.reserved(), 0);
 }
 
-// Seed 2044 of the fleet run: a dead entry's append arrived after its
-// reservation had been freed and granted anew.
-TEST_F(KeeperTest, LateAppendOfAnExitedEntryIsVoid) {
+// Guards against overspend by an exited entry whose append arrives after its
+// reservation was ended and the tokens were granted again (seed 2044 of the
+// fleet run).
+TEST_F(KeeperTest, ChargeAppendedByAFencedEntryIsRejected) {
   Reserve(1, 100, "a");
   Sync();
   keeper_.OnEntryExit(kEntry, outbox_);
   Sync();
-  Charge late;
-  late.organisation = "org";
-  late.key = "a";
-  late.holder = kSelf;
-  late.entry = kEntry;
-  late.attempt = 1;
-  late.tokens = 100;
-  Apply({late}, kEntry);
+  Charge late_charge;
+  late_charge.organisation = "org";
+  late_charge.key = "a";
+  late_charge.holder = kSelf;
+  late_charge.entry = kEntry;
+  late_charge.attempt = 1;
+  late_charge.tokens = 100;
+  Apply({late_charge}, kEntry);
   EXPECT_EQ(fold_.BudgetOf("org").charged, 0);
 }
 
-TEST_F(KeeperTest, SecondRequestUnderAKeyIsInProgressUntilItsEntryIsSuspected) {
+TEST_F(KeeperTest, SecondRequestOfAKeyIsRefusedUntilTheFirstEntryIsSuspected) {
   Reserve(1, 100, "a");
   Sync();
   Reserve(2, 100, "a", false, kOtherEntry);
@@ -164,12 +165,12 @@
   EXPECT_EQ(CodeOf(3), Code(ResultCode::kAlreadyBilled));
 }
 
-TEST_F(KeeperTest, ClaimIsConfirmedByTheLogOrNotRun) {
+TEST_F(KeeperTest, ClaimIsGrantedOnReadBackAndAbandonedOnTimeout) {
   Reserve(1, 10, "fee", true);
   Sync();
   EXPECT_EQ(CodeOf(1), Code(ResultCode::kOk));
   Reserve(2, 10, "fee2", true);
-  outbox_.records.clear();  // The log is away.
+  outbox_.records.clear();  // The log is unavailable.
   Tick(kSecond * 4);
   EXPECT_EQ(CodeOf(2), Code(ResultCode::kLogUnavailable));
   const bool abandoned = std::any_of(
@@ -178,34 +179,34 @@
   EXPECT_TRUE(abandoned);
 }
 
-TEST_F(KeeperTest, ClaimedKeyWithoutOutcomeIsUnknownForEver) {
+TEST_F(KeeperTest, ClaimedKeyWithoutOutcomeIsRefusedAsOutcomeUnknown) {
   Apply({Claim{"org", "fee", 77, 0, ""}}, 99);
   Reserve(1, 10, "fee", true);
   EXPECT_EQ(CodeOf(1), Code(ResultCode::kOutcomeUnknown));
 }
 
-TEST_F(KeeperTest, RefusalTellsWhyThereAreNoTokens) {
+TEST_F(KeeperTest, RefusalDistinguishesExhaustedFromHeldElsewhere) {
   Reserve(1, 1001, "a");
   EXPECT_EQ(CodeOf(1), Code(ResultCode::kBudgetExhausted));
   Apply({Draw{"org", 7, 1000}}, 7);
   Reserve(2, 100, "b");
-  const bool wanted = std::any_of(
+  const bool share_requested = std::any_of(
       outbox_.records.begin(), outbox_.records.end(),
       [](const Record& it) { return std::holds_alternative<Want>(it); });
-  EXPECT_TRUE(wanted);
+  EXPECT_TRUE(share_requested);
   Sync();
   Tick(kSecond * 3);
   EXPECT_EQ(CodeOf(2), Code(ResultCode::kBudgetHeldElsewhere));
 }
 
-TEST_F(KeeperTest, SilentLogIsNamedWhenADrawIsOutstanding) {
+TEST_F(KeeperTest, PendingDrawIsRefusedAsBudgetUnavailable) {
   Reserve(1, 100, "a");
   outbox_.records.clear();
   Tick(kSecond * 3);
   EXPECT_EQ(CodeOf(1), Code(ResultCode::kBudgetUnavailable));
 }
 
-TEST_F(KeeperTest, WantOfAnotherKeeperGetsIdleTokens) {
+TEST_F(KeeperTest, ShareRequestOfAnotherKeeperReturnsIdleTokens) {
   Reserve(1, 100, "a");
   Sync();
   Settle(1, 1, "a");
@@ -228,7 +229,7 @@
   EXPECT_EQ(fold_.BudgetOf("org").Share(kSelf), 0);
 }
 
-TEST_F(KeeperTest, ReleasedWhileAliveStopsTheProcess) {
+TEST_F(KeeperTest, ReleaseOfARunningInstanceAbortsTheProcess) {
   EXPECT_DEATH(Apply({Release{kSelf, "operator", {}}}, 99), "released");
 }
 
