--- a/src/coordination/admission_queue.cpp
+++ b/src/coordination/admission_queue.cpp
@@ -7,16 +7,18 @@
 namespace tamaracktrail {
 
 bool AdmissionQueue::Push(Item item) {
-  const auto own = std::count_if(
+  const auto queued_by_organisation = std::count_if(
       items_.begin(), items_.end(),
       [&](const Item& it) { return it.organisation == item.organisation; });
   if (items_.size() >= options_.max_length ||
-      static_cast<size_t>(own) >= options_.max_per_organisation) {
+      static_cast<size_t>(queued_by_organisation) >=
+          options_.max_per_organisation) {
     return false;
   }
-  // An organisation that was idle starts level with the others.
+  // An organisation that was idle starts at the current virtual time, so that
+  // it gets no credit for that period.
   Account& account = accounts_[item.organisation];
-  account.served = std::max(account.served, virtual_time_);
+  account.virtual_time = std::max(account.virtual_time, virtual_time_);
   items_.push_back(std::move(item));
   return true;
 }
@@ -27,7 +29,7 @@
   auto best = items_.end();
   for (auto it = items_.begin(); it != items_.end(); ++it) {
     if (it->service == service &&
-        (best == items_.end() || Before(now, *it, *best))) {
+        (best == items_.end() || IsBefore(now, *it, *best))) {
       best = it;
     }
   }
@@ -37,8 +39,9 @@
   Item item = std::move(*best);
   items_.erase(best);
   Account& account = accounts_[item.organisation];
-  virtual_time_ = std::max(virtual_time_, account.served);
-  account.served += static_cast<double>(std::max<int64_t>(item.tokens, 1));
+  virtual_time_ = std::max(virtual_time_, account.virtual_time);
+  account.virtual_time +=
+      static_cast<double>(std::max<int64_t>(item.tokens, 1));
   if (items_.empty()) {
     accounts_.clear();
     virtual_time_ = 0;
@@ -70,20 +73,21 @@
   return {services.begin(), services.end()};
 }
 
-bool AdmissionQueue::Before(Millis now, const Item& a, const Item& b) const {
-  const int pa = EffectivePriority(now, a);
-  const int pb = EffectivePriority(now, b);
-  if (pa != pb) {
-    return pa < pb;
+bool AdmissionQueue::IsBefore(Millis now, const Item& a, const Item& b) const {
+  const int priority_a = EffectivePriority(now, a);
+  const int priority_b = EffectivePriority(now, b);
+  if (priority_a != priority_b) {
+    return priority_a < priority_b;
   }
-  const double sa = accounts_.at(a.organisation).served;
-  const double sb = accounts_.at(b.organisation).served;
-  return sa != sb ? sa < sb : a.since < b.since;
+  const double time_a = accounts_.at(a.organisation).virtual_time;
+  const double time_b = accounts_.at(b.organisation).virtual_time;
+  return time_a != time_b ? time_a < time_b : a.since < b.since;
 }
 
 int AdmissionQueue::EffectivePriority(Millis now, const Item& item) const {
-  const int64_t raised = (now - item.since).count() / options_.aging.count();
-  return item.priority - static_cast<int>(raised);
+  const int64_t priority_gain =
+      (now - item.since).count() / options_.aging.count();
+  return item.priority - static_cast<int>(priority_gain);
 }
 
 }  // namespace tamaracktrail
--- a/src/coordination/admission_queue.h
+++ b/src/coordination/admission_queue.h
@@ -12,17 +12,18 @@
 
 namespace tamaracktrail {
 
-//! Requests that wait at an entry until an endpoint of their service has room.
+//! Queue of the requests that wait at an entry until an endpoint of their
+//! service has free capacity.
 //!
-//! The highest priority goes first; waiting raises the priority, so that none
-//! starves. Within a priority organisations take turns by the tokens they have
-//! been let in with. Not thread-safe.
+//! Requests leave by priority. Aging raises the priority of waiting requests,
+//! so that none starves. Within a priority, organisations are served by fair
+//! queueing over the tokens of their admitted requests. Not thread-safe.
 class AdmissionQueue {
  public:
   struct Options {
-    size_t max_length = 256;  //!< All services together.
+    size_t max_length = 256;  //!< Limit for all services together.
     size_t max_per_organisation = 128;
-    Millis aging{2000};  //!< Wait that is worth one priority.
+    Millis aging{2000};  //!< Wait that raises a request by one priority.
   };
 
   struct Item {
@@ -37,29 +38,30 @@
 
   explicit AdmissionQueue(Options options) : options_(options) {}
 
-  //! False where the queue, or the organisation's part of it, is full.
+  //! Returns false if the queue is full or the organisation has reached its
+  //! limit.
   bool Push(Item item);
 
-  //! Removes the next request of a service.
+  //! Removes and returns the next request of a service, if any.
   std::optional<Item> Pop(Millis now, const std::string& service);
 
-  //! Removes the requests whose deadline has passed.
+  //! Removes and returns the requests whose deadline has passed.
   std::vector<Item> TakeExpired(Millis now);
 
-  //! Removes one request; false where it is not here.
+  //! Removes one request; returns false if it is not queued.
   bool Remove(uint64_t id);
 
-  //! Services with waiting requests.
+  //! Returns the services that have queued requests.
   std::vector<std::string> Services() const;
 
   size_t size() const { return items_.size(); }
 
  private:
   struct Account {
-    double served = 0;  //!< Tokens let in, as a virtual time.
+    double virtual_time = 0;  //!< In tokens of admitted requests.
   };
 
-  bool Before(Millis now, const Item& a, const Item& b) const;
+  bool IsBefore(Millis now, const Item& a, const Item& b) const;
   int EffectivePriority(Millis now, const Item& item) const;
 
   Options options_;
--- a/src/coordination/charge_custody.cpp
+++ b/src/coordination/charge_custody.cpp
@@ -23,14 +23,14 @@
                            std::span<const uint64_t> peers,
                            Outbox& outbox) {
   CHECK_EQ(request.charge.entry, self_);
-  Held held{request, now, now, true, false, false, {}};
+  HeldCharge held{request, now, now, true, false, false, {}};
   const uint64_t holder = request.charge.holder;
   if (peers.empty()) {
-    held.sent_at = now - options_.widen_after;
+    held.sent_at = now - options_.broadcast_interval;
   } else {
     const bool to_holder = holder != self_ && Contains(peers, holder);
     const uint64_t to = to_holder ? holder : peers.front();
-    held.asked.insert(to);
+    held.sent_to.insert(to);
     outbox.Send(to, request);
   }
   held_[request.charge.attempt] = std::move(held);
@@ -40,7 +40,7 @@
                          const SettleRequest& request,
                          Outbox& outbox) {
   held_.try_emplace(request.charge.attempt,
-                    Held{request, now, now, false, true, false, {}});
+                    HeldCharge{request, now, now, false, true, false, {}});
   if (request.charge.holder != self_) {
     outbox.Send(request.charge.entry, SettleReply{request.charge.attempt});
   }
@@ -77,7 +77,7 @@
     return;
   }
   MarkSafe(attempt, it->second);
-  for (const uint64_t peer : it->second.asked) {
+  for (const uint64_t peer : it->second.sent_to) {
     if (peer != it->second.request.charge.holder) {
       outbox.Send(peer, ChargeConfirmed{attempt});
     }
@@ -85,7 +85,7 @@
   held_.erase(it);
 }
 
-void ChargeCustody::MarkSafe(uint64_t attempt, Held& held) {
+void ChargeCustody::MarkSafe(uint64_t attempt, HeldCharge& held) {
   if (held.own && !held.safe) {
     settled_.push_back({attempt, Safety::kSafe});
   }
@@ -96,55 +96,56 @@
                            std::span<const uint64_t> peers,
                            Outbox& outbox) {
   for (auto it = held_.begin(); it != held_.end();) {
-    Held& held = it->second;
+    HeldCharge& held = it->second;
     const Charge& charge = held.request.charge;
-    if (held.own && !held.safe && now >= held.since + options_.give_up_after) {
+    if (held.own && !held.safe &&
+        now >= held.held_since + options_.safety_timeout) {
       AppendVoid(charge, peers, outbox);
       settled_.push_back({it->first, Safety::kNotSafe});
       it = held_.erase(it);
       continue;
     }
-    if (!held.safe && now >= held.sent_at + options_.widen_after) {
+    if (!held.safe && now >= held.sent_at + options_.broadcast_interval) {
       held.sent_at = now;
       for (const uint64_t peer : peers) {
-        held.asked.insert(peer);
+        held.sent_to.insert(peer);
         outbox.Send(peer, held.request);
       }
       Append(held, outbox);
     }
-    if (now >= held.since + options_.replicate_after) {
+    if (now >= held.held_since + options_.replicate_after) {
       Replicate(held, peers, outbox);
     }
-    const bool heard =
+    const bool reachable =
         Contains(peers, charge.holder) || Contains(peers, charge.entry);
-    const Millis patience =
-        heard ? options_.append_anyway_after : options_.append_after;
-    if (now >= held.since + patience) {
+    const Millis append_delay = reachable ? options_.append_after_reachable
+                                          : options_.append_after_unreachable;
+    if (now >= held.held_since + append_delay) {
       Append(held, outbox);
     }
     ++it;
   }
 }
 
-void ChargeCustody::Replicate(Held& held,
+void ChargeCustody::Replicate(HeldCharge& held,
                               std::span<const uint64_t> peers,
                               Outbox& outbox) {
   for (const uint64_t peer : peers) {
     const auto live =
-        std::count_if(held.asked.begin(), held.asked.end(),
+        std::count_if(held.sent_to.begin(), held.sent_to.end(),
                       [&](uint64_t it) { return Contains(peers, it); });
-    if (static_cast<size_t>(live) >= options_.copies) {
+    if (static_cast<size_t>(live) >= options_.target_copies) {
       return;
     }
-    if (held.asked.insert(peer).second) {
+    if (held.sent_to.insert(peer).second) {
       outbox.Send(peer, held.request);
     }
   }
 }
 
-void ChargeCustody::Append(Held& held, Outbox& outbox) {
+void ChargeCustody::Append(HeldCharge& held, Outbox& outbox) {
   const Charge& charge = held.request.charge;
-  // A charge under this instance's own share is appended by its keeper.
+  // The keeper appends charges under this instance's own share.
   if (held.appended || charge.holder == self_) {
     return;
   }
--- a/src/coordination/charge_custody.h
+++ b/src/coordination/charge_custody.h
@@ -14,24 +14,32 @@
 
 namespace tamaracktrail {
 
-//! Charges this instance answers for until the log has them: its own, whose
-//! answers it may only end once another instance or the log holds the charge
-//! too, and those that peers handed over. Not thread-safe.
+//! Charges that this instance keeps until the log has them: its own ones and
+//! those that peers handed over. The answer to a request may only be completed
+//! once another instance or the log holds its charge too. Not thread-safe.
 class ChargeCustody {
  public:
   struct Options {
-    Millis widen_after{400};       //!< Then other peers and the log are asked.
-    Millis give_up_after{4000};    //!< Then the answer is withheld.
-    Millis replicate_after{1000};  //!< Unconfirmed charges go to more peers.
-    size_t copies = 4;             //!< Peers that one charge is handed to.
-    Millis append_after{5000};  //!< Unconfirmed charges are appended here too,
-                                //!< where neither entry nor holder is heard.
-    Millis append_anyway_after{60000};  //!< And where they are.
+    //! An own charge that is not safe after this time is sent to all peers and
+    //! appended to the log; the sends repeat at this interval.
+    Millis broadcast_interval{400};
+    //! Age at which an own charge that is not safe is voided and its answer
+    //! withheld.
+    Millis safety_timeout{4000};
+    //! Age from which an unconfirmed charge is sent to further peers.
+    Millis replicate_after{1000};
+    //! Number of live peers that one charge is sent to.
+    size_t target_copies = 4;
+    //! Age at which this instance appends an unconfirmed charge itself, if
+    //! neither the entry nor the holder is among the peers.
+    Millis append_after_unreachable{5000};
+    //! The corresponding age if the entry or the holder is among the peers.
+    Millis append_after_reachable{60000};
   };
 
   enum class Safety { kSafe, kNotSafe };
 
-  //! Result for one of this instance's own charges.
+  //! Whether one of this instance's own charges became safe.
   struct Settled {
     uint64_t attempt = 0;
     Safety safety = Safety::kNotSafe;
@@ -39,70 +47,75 @@
 
   ChargeCustody(uint64_t self, Options options);
 
-  //! Takes this instance's own charge and sends it to its holder, or to one of
-  //! the peers where the holder is not in `peers`.
+  //! Takes this instance's own charge into custody and sends it to its holder,
+  //! or to one of the peers if the holder is this instance or not in `peers`.
   //! Precondition: charge.entry is this instance.
   void Settle(Millis now,
               const SettleRequest& request,
               std::span<const uint64_t> peers,
               Outbox& outbox);
 
-  //! Takes a peer's charge into custody and answers with SettleReply, unless
-  //! this instance is the holder: then its keeper answers and appends.
+  //! Takes a peer's charge into custody and answers with SettleReply. If this
+  //! instance is the holder, its keeper answers and appends instead.
   void Hold(Millis now, const SettleRequest& request, Outbox& outbox);
 
-  //! The answer was not delivered whole after all: voids the charge wherever
-  //! it is. The peers append the void too, so that it outlives this process.
+  //! Voids a charge whose answer was not delivered completely, wherever the
+  //! charge is held. The peers append the Void record too, so that it is not
+  //! lost with this process.
   //! Precondition: charge.entry is this instance.
   void Withdraw(const Charge& charge,
                 std::span<const uint64_t> peers,
                 Outbox& outbox);
 
-  //! Another instance holds the charge.
+  //! Handles the notification that another instance holds the charge.
   void OnHeldElsewhere(uint64_t attempt);
 
-  //! The log has taken the charge, or has voided it.
+  //! Handles the confirmation that the log has the charge, or has voided it.
   void OnConfirmed(uint64_t attempt, Outbox& outbox);
 
-  //! Repeats, widens, appends and gives up. Precondition: `peers` excludes this
-  //! instance.
+  //! Resends charges, sends them to further peers, appends them, and voids own
+  //! charges that did not become safe in time. Precondition: `peers` excludes
+  //! this instance.
   void OnTick(Millis now, std::span<const uint64_t> peers, Outbox& outbox);
 
-  //! Own charges that became safe or not safe since the last call. A charge
-  //! that is not safe gets a Void record from this class.
+  //! Returns the own charges that became safe, or timed out, since the last
+  //! call. This class appends a Void record for each one that timed out.
   std::vector<Settled> TakeSettled();
 
-  //! Unconfirmed charges under the share of `holder`.
+  //! Returns the unconfirmed charges under the share of `holder`: own ones with
+  //! the reserved tokens, those of peers with the charged tokens.
   std::vector<KeptShare> HeldFor(uint64_t holder) const;
 
-  //! Charges of an exited entry, so that their holders learn of them before
-  //! they free anything.
+  //! Returns the held charges of an exited entry, so that their holders learn
+  //! of them before they free its reservations.
   std::vector<SettleRequest> ChargesOf(uint64_t entry) const;
 
   bool Holds(uint64_t attempt) const { return held_.contains(attempt); }
   size_t size() const { return held_.size(); }
 
  private:
-  struct Held {
+  struct HeldCharge {
     SettleRequest request;
-    Millis since;
+    Millis held_since;
     Millis sent_at;
     bool own = false;
     bool safe = false;
     bool appended = false;
-    std::set<uint64_t> asked;  //!< Peers that may hold it for this instance.
+    std::set<uint64_t> sent_to;  //!< Peers that may hold the charge.
   };
 
   static void AppendVoid(const Charge& charge,
                          std::span<const uint64_t> peers,
                          Outbox& outbox);
-  void MarkSafe(uint64_t attempt, Held& held);
-  void Replicate(Held& held, std::span<const uint64_t> peers, Outbox& outbox);
-  void Append(Held& held, Outbox& outbox);
+  void MarkSafe(uint64_t attempt, HeldCharge& held);
+  void Replicate(HeldCharge& held,
+                 std::span<const uint64_t> peers,
+                 Outbox& outbox);
+  void Append(HeldCharge& held, Outbox& outbox);
 
   uint64_t self_;
   Options options_;
-  std::map<uint64_t, Held> held_;  //!< By attempt.
+  std::map<uint64_t, HeldCharge> held_;  //!< By attempt.
   std::vector<Settled> settled_;
 };
 
--- a/tests/coordination/decisions_test.cpp
+++ b/tests/coordination/decisions_test.cpp
@@ -16,10 +16,10 @@
 
 // Membership.
 
-Heartbeat Beat(uint64_t incarnation,
-               uint64_t sequence,
-               uint64_t echo_of,
-               Millis echo) {
+Heartbeat HeartbeatFrom(uint64_t incarnation,
+                        uint64_t sequence,
+                        uint64_t echo_of,
+                        Millis echo) {
   Heartbeat it;
   it.from = {"10.0.0.2:1", incarnation};
   it.data_centre = "dc";
@@ -29,47 +29,49 @@
   return it;
 }
 
-TEST(MembershipTest, PeerHeardOneWayOnlyIsNotLive) {
+TEST(MembershipTest, PeerIsLiveOnlyWithARecentEcho) {
   Membership it({"10.0.0.1:1", 1}, "dc", {});
   std::optional<uint64_t> replaced;
   const Millis now{10000};
-  EXPECT_TRUE(it.OnHeartbeat(now, Beat(2, 1, 0, Millis()), replaced));
+  EXPECT_TRUE(it.OnHeartbeat(now, HeartbeatFrom(2, 1, 0, Millis()), replaced));
   EXPECT_TRUE(it.LivePeers(now).empty());
-  EXPECT_TRUE(it.OnHeartbeat(now, Beat(2, 2, 1, Millis(9900)), replaced));
+  EXPECT_TRUE(
+      it.OnHeartbeat(now, HeartbeatFrom(2, 2, 1, Millis(9900)), replaced));
   EXPECT_EQ(it.LivePeers(now).size(), 1u);
   EXPECT_TRUE(it.LivePeers(now + kSecond * 3).empty());
 }
 
-TEST(MembershipTest, SilenceSuspectsAndOnlyEvidenceEnds) {
+TEST(MembershipTest, UnresponsivePeerIsSuspectedAndExitsOnlyWhenReplaced) {
   Membership it({"10.0.0.1:1", 1}, "dc", {});
   std::optional<uint64_t> replaced;
-  it.OnHeartbeat(Millis(1), Beat(2, 1, 1, Millis(1)), replaced);
+  it.OnHeartbeat(Millis(1), HeartbeatFrom(2, 1, 1, Millis(1)), replaced);
   const Millis later = kHour;
   EXPECT_EQ(it.Suspected(later), std::vector<uint64_t>{2});
   EXPECT_FALSE(it.Exited(2));
-  it.OnHeartbeat(later, Beat(3, 1, 0, Millis()), replaced);
+  it.OnHeartbeat(later, HeartbeatFrom(3, 1, 0, Millis()), replaced);
   EXPECT_EQ(replaced, 2u);
   EXPECT_TRUE(it.Exited(2));
-  EXPECT_FALSE(it.OnHeartbeat(later, Beat(2, 9, 1, later), replaced));
+  EXPECT_FALSE(it.OnHeartbeat(later, HeartbeatFrom(2, 9, 1, later), replaced));
 }
 
-TEST(MembershipTest, ListOnlySeeds) {
+TEST(MembershipTest, SeedsExcludeSelfAndTheirRemovalKeepsLivePeers) {
   Membership it({"10.0.0.1:1", 1}, "dc", {});
   it.SetSeeds({"10.0.0.1:1", "10.0.0.3:1"});
   EXPECT_EQ(it.Due(Millis(1)), std::vector<std::string>{"10.0.0.3:1"});
   std::optional<uint64_t> replaced;
-  it.OnHeartbeat(Millis(1000), Beat(2, 1, 1, Millis(900)), replaced);
+  it.OnHeartbeat(Millis(1000), HeartbeatFrom(2, 1, 1, Millis(900)), replaced);
   it.SetSeeds({});
   EXPECT_EQ(it.LivePeers(Millis(1000)).size(), 1u);
 }
 
-TEST(MembershipTest, PeersClockIsBoundedFromBelowByTheTightestEcho) {
+TEST(MembershipTest, PeerClockIsBoundedFromBelowByTheTightestEcho) {
   Membership it({"10.0.0.1:1", 1}, "dc", {});
   std::optional<uint64_t> replaced;
-  Heartbeat loose = Beat(2, 1, 1, Millis(1000));
-  loose.sent_at = Millis(500900);  // 900 ms after it had the echoed one.
+  Heartbeat loose = HeartbeatFrom(2, 1, 1, Millis(1000));
+  // Sent 900 ms after the peer received the heartbeat that it echoes.
+  loose.sent_at = Millis(500900);
   it.OnHeartbeat(Millis(1901), loose, replaced);
-  Heartbeat tight = Beat(2, 2, 1, Millis(2000));
+  Heartbeat tight = HeartbeatFrom(2, 2, 1, Millis(2000));
   tight.sent_at = Millis(501010);
   it.OnHeartbeat(Millis(2011), tight, replaced);
   const Membership::Peer& peer = *it.ByIncarnation(2);
@@ -81,7 +83,7 @@
   EXPECT_EQ(Membership::LocalTime(peer, Millis(502900)), Millis(3889));
 }
 
-TEST(MembershipTest, ManyPeersDoNotMakeEachOtherSuspects) {
+TEST(MembershipTest, SuspicionTimeoutGrowsWithTheNumberOfPeers) {
   Membership it({"10.0.0.1:1", 1}, "dc", {});
   std::vector<std::string> seeds;
   for (int i = 2; i < 58; ++i) {
@@ -89,11 +91,11 @@
   }
   it.SetSeeds(seeds);
   std::optional<uint64_t> replaced;
-  it.OnHeartbeat(Millis(10000), Beat(2, 1, 1, Millis(9000)), replaced);
+  it.OnHeartbeat(Millis(10000), HeartbeatFrom(2, 1, 1, Millis(9000)), replaced);
   EXPECT_EQ(it.LivePeers(Millis(12500)).size(), 1u);
 }
 
-TEST(RendezvousTest, SpreadGivesNoCandidateMoreThanItsPart) {
+TEST(RendezvousTest, SpreadAssignsNoCandidateMoreThanAnEvenPart) {
   std::vector<std::string> keys;
   for (int i = 0; i < 64; ++i) {
     keys.push_back("ledger-" + std::to_string(i));
@@ -114,9 +116,9 @@
   EXPECT_TRUE(RendezvousSpread(keys, {}).empty());
 }
 
-// Sweeps.
+// Exit sweeps.
 
-TEST(ExitSweepTest, WaitsForEachMemberAndKeepsTheLargestOfAnAttempt) {
+TEST(ExitSweepTest, CompletesAfterAllReportsWithTheLargestAmountPerAttempt) {
   ExitSweep it;
   const std::vector<uint64_t> members{2, 3};
   it.Start(9);
@@ -128,9 +130,9 @@
   EXPECT_EQ(complete[0].kept, (std::vector<KeptShare>{{"org", 7, 100}}));
 }
 
-// Custody.
+// Charge custody.
 
-SettleRequest Settlement(uint64_t holder) {
+SettleRequest MakeSettleRequest(uint64_t holder) {
   SettleRequest it;
   it.charge.organisation = "org";
   it.charge.key = "k";
@@ -141,11 +143,11 @@
   return it;
 }
 
-TEST(ChargeCustodyTest, OwnWordDoesNotMakeAChargeSafe) {
+TEST(ChargeCustodyTest, ChargeIsSafeOnlyOnceAnotherInstanceHoldsIt) {
   ChargeCustody it(1, {});
   Outbox outbox;
   const std::vector<uint64_t> peers{2, 3};
-  it.Settle(Millis(0), Settlement(1), peers, outbox);
+  it.Settle(Millis(0), MakeSettleRequest(1), peers, outbox);
   ASSERT_EQ(outbox.letters.size(), 1u);
   EXPECT_NE(outbox.letters[0].to, 1u);
   EXPECT_TRUE(it.TakeSettled().empty());
@@ -155,12 +157,12 @@
   EXPECT_EQ(settled[0].safety, ChargeCustody::Safety::kSafe);
 }
 
-TEST(ChargeCustodyTest, AloneWithoutTheLogTheAnswerIsWithheldAndVoided) {
+TEST(ChargeCustodyTest, ChargeIsVoidedAfterTheTimeoutWithoutPeersAndLog) {
   ChargeCustody it(1, {});
   Outbox outbox;
-  it.Settle(Millis(0), Settlement(7), {}, outbox);
+  it.Settle(Millis(0), MakeSettleRequest(7), {}, outbox);
   it.OnTick(Millis(1), {}, outbox);
-  ASSERT_EQ(outbox.records.size(), 1u);  // The charge itself.
+  ASSERT_EQ(outbox.records.size(), 1u);  // The charge.
   it.OnTick(kSecond * 5, {}, outbox);
   const auto settled = it.TakeSettled();
   ASSERT_EQ(settled.size(), 1u);
@@ -170,7 +172,7 @@
 
 // Log writer.
 
-TEST(LogWriterTest, RepeatsTheSameBytesUntilConfirmed) {
+TEST(LogWriterTest, RepeatsTheSameBytesUntilReadBack) {
   const BatchCodec codec("a key for tests");
   LogWriter it(5, &codec, {});
   const uint64_t ticket = it.Add(Want{"org", 1, 1});
@@ -196,7 +198,10 @@
                      {"far", "", "s", "other", 10, true}});
   }
 
-  void See(const char* name, EndpointHealth health, Millis at, int load = 0) {
+  void Observe(const char* name,
+               EndpointHealth health,
+               Millis at,
+               int load = 0) {
     table_.Observe({name, health, load, "", {}, at});
   }
 
@@ -205,35 +210,36 @@
   EndpointTable table_;
 };
 
-TEST_F(EndpointTableTest, NothingNewTwoSecondsAfterTheLastSight) {
-  See("a", EndpointHealth::kUp, Millis(1000));
+TEST_F(EndpointTableTest, EndpointWithStaleObservationIsNoCandidate) {
+  Observe("a", EndpointHealth::kUp, Millis(1000));
   EXPECT_EQ(Count(Millis(2000)), 1u);
   EXPECT_EQ(Count(Millis(3000)), 0u);
 }
 
-TEST_F(EndpointTableTest, LeavingEndpointIsNoCandidateAndOldNewsDoNotRevive) {
-  See("a", EndpointHealth::kLeaving, Millis(1000));
-  See("a", EndpointHealth::kUp, Millis(900));
+TEST_F(EndpointTableTest,
+       DrainingEndpointStaysExcludedDespiteAnOlderObservation) {
+  Observe("a", EndpointHealth::kLeaving, Millis(1000));
+  Observe("a", EndpointHealth::kUp, Millis(900));
   EXPECT_EQ(Count(Millis(1001)), 0u);
 }
 
-TEST_F(EndpointTableTest, SightsFromBeforeAPauseDoNotCount) {
-  See("a", EndpointHealth::kUp, Millis(1000));
+TEST_F(EndpointTableTest, ObservationsFromBeforeAPauseAreIgnored) {
+  Observe("a", EndpointHealth::kUp, Millis(1000));
   table_.ForgetBefore(Millis(1100));
   EXPECT_EQ(Count(Millis(1101)), 0u);
 }
 
-TEST_F(EndpointTableTest, OtherDataCentresServeOnlyWhereThisOneHasNone) {
-  See("a", EndpointHealth::kUp, Millis(1000));
-  See("far", EndpointHealth::kUp, Millis(1000));
+TEST_F(EndpointTableTest, OtherDataCentresAreUsedOnlyWithoutLocalCandidates) {
+  Observe("a", EndpointHealth::kUp, Millis(1000));
+  Observe("far", EndpointHealth::kUp, Millis(1000));
   EXPECT_TRUE(table_.Candidates(Millis(1001), "s")[0].local);
-  See("a", EndpointHealth::kDown, Millis(1002));
+  Observe("a", EndpointHealth::kDown, Millis(1002));
   EXPECT_FALSE(table_.Candidates(Millis(1003), "s")[0].local);
 }
 
-TEST_F(EndpointTableTest, OutlierIsEjectedButNeverMoreThanHalf) {
-  See("a", EndpointHealth::kUp, Millis(1000));
-  See("b", EndpointHealth::kUp, Millis(1000));
+TEST_F(EndpointTableTest, FailingEndpointsAreEjectedUpToHalfOfTheService) {
+  Observe("a", EndpointHealth::kUp, Millis(1000));
+  Observe("b", EndpointHealth::kUp, Millis(1000));
   for (const char* name : {"a", "b"}) {
     for (int i = 0; i < 3; ++i) {
       table_.OnDispatch(Millis(1001), name);
@@ -244,25 +250,25 @@
   EXPECT_EQ(Count(Millis(1002)), 1u);
 }
 
-TEST_F(EndpointTableTest, ReturningEndpointStartsSlowly) {
-  See("a", EndpointHealth::kDown, Millis(1000));
-  See("a", EndpointHealth::kUp, Millis(2000));
+TEST_F(EndpointTableTest, RecoveredEndpointStartsWithReducedCapacity) {
+  Observe("a", EndpointHealth::kDown, Millis(1000));
+  Observe("a", EndpointHealth::kUp, Millis(2000));
   EXPECT_EQ(table_.Room(Millis(2001), "s"), 1);
-  See("a", EndpointHealth::kUp, Millis(20000));
+  Observe("a", EndpointHealth::kUp, Millis(20000));
   EXPECT_EQ(table_.Room(Millis(20001), "s"), 10);
 }
 
-TEST_F(EndpointTableTest, DispatchesSinceTheReportCountForAllSenders) {
-  See("a", EndpointHealth::kUp, Millis(1000), 2);
+TEST_F(EndpointTableTest, DispatchesSinceTheLoadReportCountForEachSender) {
+  Observe("a", EndpointHealth::kUp, Millis(1000), 2);
   table_.SetSharers(4);
   table_.OnDispatch(Millis(1001), "a");
   EXPECT_DOUBLE_EQ(table_.Candidates(Millis(1002), "s")[0].load, 0.6);
 }
 
-// tools/overhead.sh: short requests that had ended still counted for the other
-// senders, and an idle endpoint looked full.
-TEST_F(EndpointTableTest, EndedRequestsLeaveNoLoadBehind) {
-  See("a", EndpointHealth::kUp, Millis(1000));
+// Guards against counting ended short requests for the other senders, which
+// made an idle endpoint appear full in tools/overhead.sh.
+TEST_F(EndpointTableTest, EndedRequestsAddNoLoad) {
+  Observe("a", EndpointHealth::kUp, Millis(1000));
   table_.SetSharers(4);
   for (int i = 0; i < 100; ++i) {
     table_.OnDispatch(Millis(1001), "a");
@@ -272,7 +278,7 @@
   EXPECT_DOUBLE_EQ(table_.Candidates(Millis(1003), "s")[0].load, 0);
 }
 
-TEST(AffinityChoiceTest, SamePrefixStaysUntilItsEndpointIsLoaded) {
+TEST(AffinityChoiceTest, SamePrefixKeepsItsEndpointUntilItIsLoaded) {
   std::vector<EndpointCandidate> candidates;
   for (int i = 0; i < 8; ++i) {
     candidates.push_back({"e" + std::to_string(i), 0.2, true});
@@ -285,38 +291,39 @@
   EXPECT_NE(choice.Pick(candidates, "prefix", random), first);
 }
 
-// Admission.
+// Admission queue.
 
-AdmissionQueue::Item Waiting(uint64_t id,
-                             const char* organisation,
-                             int priority,
-                             Millis since = Millis(0)) {
-  return {id, "s", organisation, priority, 10, since, since + kMinute};
+AdmissionQueue::Item QueuedItem(uint64_t id,
+                                const char* organisation,
+                                int priority,
+                                Millis enqueued_at = Millis(0)) {
+  return {id, "s",         organisation,         priority,
+          10, enqueued_at, enqueued_at + kMinute};
 }
 
-TEST(AdmissionQueueTest, OrganisationsTakeTurnsWithinAPriority) {
+TEST(AdmissionQueueTest, OrganisationsAreServedFairlyWithinAPriority) {
   AdmissionQueue queue({});
   for (uint64_t i = 0; i < 10; ++i) {
-    queue.Push(Waiting(i, "large", 5));
+    queue.Push(QueuedItem(i, "large", 5));
   }
-  queue.Push(Waiting(100, "small", 5));
+  queue.Push(QueuedItem(100, "small", 5));
   queue.Pop(Millis(1), "s");
   EXPECT_EQ(queue.Pop(Millis(1), "s")->id, 100u);
 }
 
-TEST(AdmissionQueueTest, WaitingRaisesALowPriority) {
+TEST(AdmissionQueueTest, AgingRaisesALowPriority) {
   AdmissionQueue queue({});
-  queue.Push(Waiting(1, "a", 9, Millis(0)));
-  queue.Push(Waiting(2, "b", 0, Millis(19000)));
+  queue.Push(QueuedItem(1, "a", 9, Millis(0)));
+  queue.Push(QueuedItem(2, "b", 0, Millis(19000)));
   EXPECT_EQ(queue.Pop(Millis(19000), "s")->id, 1u);
 }
 
-TEST(AdmissionQueueTest, FullQueueAndPassedDeadlinesRefuse) {
+TEST(AdmissionQueueTest, FullQueueRefusesAndExpiredItemsAreRemoved) {
   AdmissionQueue queue({.max_length = 2, .max_per_organisation = 1});
-  EXPECT_TRUE(queue.Push(Waiting(1, "a", 5)));
-  EXPECT_FALSE(queue.Push(Waiting(2, "a", 5)));
-  EXPECT_TRUE(queue.Push(Waiting(3, "b", 5)));
-  EXPECT_FALSE(queue.Push(Waiting(4, "c", 5)));
+  EXPECT_TRUE(queue.Push(QueuedItem(1, "a", 5)));
+  EXPECT_FALSE(queue.Push(QueuedItem(2, "a", 5)));
+  EXPECT_TRUE(queue.Push(QueuedItem(3, "b", 5)));
+  EXPECT_FALSE(queue.Push(QueuedItem(4, "c", 5)));
   EXPECT_EQ(queue.TakeExpired(kMinute).size(), 2u);
 }
 
@@ -335,7 +342,7 @@
   std::map<std::string, int> demand_;
 };
 
-TEST_F(PlacerTest, OnlyTheTermsHolderOrdersAndOneAtATime) {
+TEST_F(PlacerTest, OnlyTheTermHolderIssuesOrdersOneAtATime) {
   EXPECT_TRUE(Decide(Millis(0)).empty());
   placer_.SetTerm(Millis(0), 5);
   const auto orders = Decide(Millis(1));
@@ -358,7 +365,7 @@
   EXPECT_TRUE(Decide(Millis(4)).empty());
 }
 
-TEST_F(PlacerTest, EndpointsThatIgnoreFencingWaitAndKeepASpareCopy) {
+TEST_F(PlacerTest, WithoutFencingFirstOrderWaitsAndTheSpareCopyStays) {
   for (auto& it : endpoints_) {
     it.checks_fencing = false;
   }
