--- a/src/coordination/flow_action.h
+++ b/src/coordination/flow_action.h
@@ -15,7 +15,8 @@
 
 namespace tamaracktrail {
 
-//! Asks whether the content may run; answered by RequestFlow::OnContent.
+//! Requests a check whether the content may run; answered by
+//! RequestFlow::OnContent.
 struct CheckContent {
   std::string content;
 };
@@ -28,32 +29,32 @@
   std::set<std::string> exclude;
 };
 
-//! Ends the attempt at the endpoint; no further events of it are wanted.
+//! Cancels the attempt at the endpoint; its further events are ignored.
 struct CancelCall {};
 
-//! Finds out whether the endpoint has crashed; answered by
+//! Requests a check whether the endpoint has crashed; answered by
 //! RequestFlow::OnCrashVerdict.
 struct ConfirmCrash {
   std::string endpoint;
 };
 
-//! Records the crash and claims the content's one repeat; answered by
-//! RequestFlow::OnContent.
+//! Records the crash and claims the single repeat that the content is allowed
+//! after it; answered by RequestFlow::OnContent.
 struct RecordCrash {
   Crash crash;
 };
 
-//! Passes a piece of the answer on to the caller.
+//! Forwards a chunk of the answer to the caller.
 struct ForwardChunk {
   std::string data;
 };
 
-//! Hands the charge over; answered by RequestFlow::OnSettled.
+//! Transfers the charge into custody; answered by RequestFlow::OnSettled.
 struct SettleCharge {
   SettleRequest request;
 };
 
-//! Voids a charge that was handed over.
+//! Voids a charge after its SettleCharge.
 struct WithdrawCharge {
   Charge charge;
 };
@@ -63,13 +64,14 @@
   Record record;
 };
 
-//! The end: the final event of the answer, or an error. The last action.
+//! Sends the final event of the answer, or an error. Always the last action of
+//! a flow.
 struct FinishRequest {
   ResultCode code = ResultCode::kOk;
   RunState run_state = RunState::kNotRun;
 };
 
-//! What a request flow wants done.
+//! An action that a request flow requests from its caller.
 using FlowAction = std::variant<CheckContent,
                                 ReserveRequest,
                                 ReservationEnd,
--- a/src/coordination/flow_spec.h
+++ b/src/coordination/flow_spec.h
@@ -8,22 +8,22 @@
 
 namespace tamaracktrail {
 
-//! What a request flow needs to know of its request. Immutable.
+//! Parameters of the request that a request flow handles. Immutable.
 struct FlowSpec {
   std::string organisation;
   std::string key;
   std::string service;
   std::string content;  //!< Hash of the content, for crash records.
   uint64_t entry = 0;
-  uint64_t attempt = 0;  //!< Names the reservation, the claim and the charge.
+  uint64_t attempt = 0;  //!< Identifies reservation, claim and charge.
   uint64_t config_version = 0;
   int64_t worst_case = 0;  //!< Tokens to reserve.
-  int64_t fixed_cost = 0;  //!< Tokens of a plain call; 0 for a model's usage.
+  int64_t fixed_cost = 0;  //!< Tokens of a plain call; 0 to charge the usage.
   bool repeatable = true;
   bool resumable = false;
   int max_tries = 3;
   Millis reserve_timeout{4500};
-  Millis idle_timeout{30000};  //!< Longest silence of an endpoint.
+  Millis idle_timeout{30000};  //!< Longest gap between endpoint events.
 };
 
 }  // namespace tamaracktrail
--- a/src/coordination/request_flow.cpp
+++ b/src/coordination/request_flow.cpp
@@ -30,7 +30,7 @@
 
 RequestFlow::Actions RequestFlow::OnContent(Millis now, ResultCode verdict) {
   if (phase_ == Phase::kRecordingCrash) {
-    return verdict == ResultCode::kOk ? RetryCut(now) : Fail(verdict);
+    return verdict == ResultCode::kOk ? RetryLostAttempt(now) : Fail(verdict);
   }
   if (phase_ != Phase::kCheckingContent) {
     return {};
@@ -40,7 +40,7 @@
   }
   phase_ = Phase::kReserving;
   phase_since_ = now;
-  reserve_open_ = true;
+  reservation_open_ = true;
   return {ReserveRequest{spec_.organisation, spec_.key, spec_.service,
                          spec_.attempt, spec_.entry, spec_.worst_case,
                          !spec_.repeatable}};
@@ -53,7 +53,7 @@
   }
   const auto code = static_cast<ResultCode>(reply.code);
   if (code != ResultCode::kOk) {
-    reserve_open_ = false;
+    reservation_open_ = false;
     return Fail(code);
   }
   holder_ = reply.holder;
@@ -88,26 +88,26 @@
   last_event_ = now;
   switch (event.kind) {
     case UpstreamEvent::Kind::kConnectFailed:
-      return RetryUnsent(now, ResultCode::kNoEndpoint);
+      return RetryNotRun(now, ResultCode::kNoEndpoint);
     case UpstreamEvent::Kind::kRefused:
-      return RetryUnsent(now, ResultCode::kEndpointRefused);
+      return RetryNotRun(now, ResultCode::kEndpointRefused);
     case UpstreamEvent::Kind::kChunk:
-      exposed_ = true;
+      may_have_reached_endpoint_ = true;
       return OnChunk(now, event);
     case UpstreamEvent::Kind::kEnd:
-      exposed_ = true;
+      may_have_reached_endpoint_ = true;
       return OnEnd(now, event);
     case UpstreamEvent::Kind::kCut:
-      exposed_ = true;
-      return OnCut(now, ResultCode::kEndpointLost);
+      may_have_reached_endpoint_ = true;
+      return OnAttemptLost(now, ResultCode::kEndpointLost);
     case UpstreamEvent::Kind::kError:
-      exposed_ = true;
+      may_have_reached_endpoint_ = true;
       return Fail(ResultCode::kEndpointError);
   }
   return {};
 }
 
-RequestFlow::Actions RequestFlow::RetryUnsent(Millis, ResultCode code) {
+RequestFlow::Actions RequestFlow::RetryNotRun(Millis, ResultCode code) {
   exclude_.insert(endpoint_);
   if (tries_ >= spec_.max_tries || caller_gone_) {
     return Fail(code);
@@ -125,8 +125,8 @@
   }
   if (event.sequence > next_sequence_) {
     Actions out{CancelCall{}};
-    const Actions cut = OnCut(now, ResultCode::kAnswerIncomplete);
-    out.insert(out.end(), cut.begin(), cut.end());
+    const Actions lost = OnAttemptLost(now, ResultCode::kAnswerIncomplete);
+    out.insert(out.end(), lost.begin(), lost.end());
     return out;
   }
   ++next_sequence_;
@@ -136,7 +136,7 @@
 RequestFlow::Actions RequestFlow::OnEnd(Millis now,
                                         const UpstreamEvent& event) {
   if (event.sequence != next_sequence_) {
-    return OnCut(now, ResultCode::kAnswerIncomplete);
+    return OnAttemptLost(now, ResultCode::kAnswerIncomplete);
   }
   Actions out;
   if (!spec_.repeatable) {
@@ -152,17 +152,17 @@
   charge_ = MakeCharge(event);
   phase_ = Phase::kSettling;
   phase_since_ = now;
-  reserve_open_ = false;
+  reservation_open_ = false;
   out.push_back(SettleCharge{SettleRequest{charge_, spec_.worst_case}});
   return out;
 }
 
-RequestFlow::Actions RequestFlow::OnCut(Millis now, ResultCode code) {
+RequestFlow::Actions RequestFlow::OnAttemptLost(Millis now, ResultCode code) {
   if (!spec_.repeatable) {
     return Fail(ResultCode::kOutcomeUnknown);
   }
   if (code == ResultCode::kAnswerIncomplete) {
-    return RetryCut(now);
+    return RetryLostAttempt(now);
   }
   phase_ = Phase::kConfirmingCrash;
   phase_since_ = now;
@@ -174,7 +174,7 @@
     return {};
   }
   if (!crashed) {
-    return RetryCut(now);
+    return RetryLostAttempt(now);
   }
   phase_ = Phase::kRecordingCrash;
   phase_since_ = now;
@@ -182,10 +182,10 @@
       RecordCrash{Crash{spec_.content, endpoint_, spec_.key, spec_.attempt}}};
 }
 
-RequestFlow::Actions RequestFlow::RetryCut(Millis) {
+RequestFlow::Actions RequestFlow::RetryLostAttempt(Millis) {
   exclude_.insert(endpoint_);
-  const bool whole_again = next_sequence_ == 0 || spec_.resumable;
-  if (!whole_again || tries_ >= spec_.max_tries) {
+  const bool can_complete = next_sequence_ == 0 || spec_.resumable;
+  if (!can_complete || tries_ >= spec_.max_tries) {
     return Fail(ResultCode::kEndpointLost);
   }
   if (!retries_->TakeRetry()) {
@@ -225,7 +225,7 @@
   }
   Actions out;
   if (phase_ == Phase::kRunning) {
-    exposed_ = true;
+    may_have_reached_endpoint_ = true;
     out.push_back(CancelCall{});
   }
   const Actions fail = Fail(code);
@@ -241,10 +241,10 @@
                                  : ResultCode::kLogUnavailable);
   }
   if (phase_ == Phase::kRunning && now >= last_event_ + spec_.idle_timeout) {
-    exposed_ = true;
+    may_have_reached_endpoint_ = true;
     Actions out{CancelCall{}};
-    const Actions cut = OnCut(now, ResultCode::kEndpointLost);
-    out.insert(out.end(), cut.begin(), cut.end());
+    const Actions lost = OnAttemptLost(now, ResultCode::kEndpointLost);
+    out.insert(out.end(), lost.begin(), lost.end());
     return out;
   }
   return {};
@@ -253,7 +253,7 @@
 RequestFlow::Actions RequestFlow::Fail(ResultCode code) {
   const RunState run_state = StateFor(code);
   Actions out;
-  if (exposed_) {
+  if (may_have_reached_endpoint_) {
     out.push_back(NoteRecord{MakeRun(code)});
   } else {
     out.push_back(
@@ -268,11 +268,11 @@
 }
 
 void RequestFlow::EndReservation(Actions& out) {
-  if (!reserve_open_) {
+  if (!reservation_open_) {
     return;
   }
-  reserve_open_ = false;
-  const bool abandon = !spec_.repeatable && !exposed_;
+  reservation_open_ = false;
+  const bool abandon = !spec_.repeatable && !may_have_reached_endpoint_;
   out.push_back(ReservationEnd{spec_.organisation, spec_.key, spec_.attempt,
                                holder_, abandon});
   holder_ = 0;
@@ -292,7 +292,7 @@
   const int64_t usage = spec_.fixed_cost > 0
                             ? spec_.fixed_cost
                             : event.prompt_tokens + event.completion_tokens;
-  // The reservation is the most a caller agreed to.
+  // The reservation is the maximum that the caller agreed to pay.
   charge.tokens = std::clamp<int64_t>(usage, 0, spec_.worst_case);
   charge.config_version = spec_.config_version;
   return charge;
@@ -317,16 +317,18 @@
   if (code == ResultCode::kAlreadyBilled || code == ResultCode::kAlreadyRan) {
     return RunState::kRan;
   }
-  if (!exposed_) {
+  if (!may_have_reached_endpoint_) {
     return RunState::kNotRun;
   }
-  const bool unclear = !spec_.repeatable && code == ResultCode::kEndpointError;
-  return unclear ? RunState::kOutcomeUnknown : RunState::kRan;
+  const bool outcome_unknown =
+      !spec_.repeatable && code == ResultCode::kEndpointError;
+  return outcome_unknown ? RunState::kOutcomeUnknown : RunState::kRan;
 }
 
 int64_t RequestFlow::ReservedUnder(uint64_t holder) const {
-  const bool standing = phase_ != Phase::kDone && phase_ != Phase::kSettling;
-  return standing && holder_ == holder ? spec_.worst_case : 0;
+  const bool reservation_held =
+      phase_ != Phase::kDone && phase_ != Phase::kSettling;
+  return reservation_held && holder_ == holder ? spec_.worst_case : 0;
 }
 
 }  // namespace tamaracktrail
--- a/src/coordination/request_flow.h
+++ b/src/coordination/request_flow.h
@@ -16,12 +16,13 @@
 
 class RetryBudget;
 
-//! The way of one request from its reservation to its end.
+//! State machine of one request, from the content check and the reservation to
+//! the final event.
 //!
-//! Events go in, actions come out. It states "not run" only while no byte of
-//! the call can have reached an endpoint, never repeats a non-repeatable call
-//! that may have run, and ends an answer only when its charge is safe. Not
-//! thread-safe.
+//! Each event method returns the actions to execute. The flow reports "not run"
+//! only while no byte of the call can have reached an endpoint, never repeats a
+//! non-repeatable call that may have run, and completes an answer only when its
+//! charge is safe. Not thread-safe.
 class RequestFlow {
  public:
   using Actions = std::vector<FlowAction>;
@@ -31,10 +32,11 @@
 
   Actions Start(Millis now);
 
-  //! Ends a request that was not started. Precondition: Start was not called.
+  //! Refuses a request without starting it. Precondition: Start was not called.
   Actions Refuse(ResultCode code);
 
-  //! Verdict on the content: kOk to go on, else the reason to refuse.
+  //! Handles the result of CheckContent or RecordCrash: kOk to continue,
+  //! otherwise the reason for the refusal.
   Actions OnContent(Millis now, ResultCode verdict);
 
   Actions OnReserveReply(Millis now, const ReserveReply& reply);
@@ -44,17 +46,18 @@
   Actions OnCrashVerdict(Millis now, bool crashed);
   Actions OnSettled(Millis now, bool safe);
 
-  //! The caller is gone, or reads too slowly. Cancels the call, but lets a
-  //! non-repeatable one end so that its outcome is recorded.
+  //! Handles a caller that disconnected or reads too slowly. Cancels the call,
+  //! except for a non-repeatable one, which runs to its end so that its outcome
+  //! is recorded.
   Actions OnCallerGone(Millis now, ResultCode code);
 
-  //! Checks the timeouts. Call it several times a second.
+  //! Enforces the timeouts. Call it several times a second.
   Actions OnTick(Millis now);
 
   bool done() const { return phase_ == Phase::kDone; }
   const FlowSpec& spec() const { return spec_; }
 
-  //! Tokens still reserved under `holder`, for orphan reports.
+  //! Tokens still reserved under the share of `holder`, for orphan reports.
   int64_t ReservedUnder(uint64_t holder) const;
 
   //! Endpoint of the latest attempt; empty before the first.
@@ -75,11 +78,11 @@
   };
 
   Actions Dispatch();
-  Actions RetryUnsent(Millis now, ResultCode code);
-  Actions RetryCut(Millis now);
+  Actions RetryNotRun(Millis now, ResultCode code);
+  Actions RetryLostAttempt(Millis now);
   Actions OnChunk(Millis now, const UpstreamEvent& event);
   Actions OnEnd(Millis now, const UpstreamEvent& event);
-  Actions OnCut(Millis now, ResultCode code);
+  Actions OnAttemptLost(Millis now, ResultCode code);
   Actions Fail(ResultCode code);
   void EndReservation(Actions& out);
   Charge MakeCharge(const UpstreamEvent& event) const;
@@ -91,9 +94,11 @@
   Phase phase_ = Phase::kNew;
   Millis phase_since_;
   Millis last_event_;
-  uint64_t holder_ = 0;        //!< Of the standing reservation; 0 for none.
-  bool reserve_open_ = false;  //!< Asked for, and not refused or ended.
-  bool exposed_ = false;       //!< Bytes may have reached an endpoint.
+  uint64_t holder_ = 0;  //!< Of the granted reservation; 0 for none.
+  //! The reservation was requested, and neither refused nor ended.
+  bool reservation_open_ = false;
+  //! Bytes of a call may have reached an endpoint.
+  bool may_have_reached_endpoint_ = false;
   bool caller_gone_ = false;
   int tries_ = 0;
   uint64_t next_sequence_ = 0;
--- a/src/coordination/upstream_event.h
+++ b/src/coordination/upstream_event.h
@@ -6,21 +6,22 @@
 
 namespace tamaracktrail {
 
-//! What happened to one attempt at an endpoint.
+//! An event of one attempt at an endpoint.
 struct UpstreamEvent {
   enum class Kind {
     kConnectFailed,  //!< No byte of the call was sent.
     kRefused,        //!< The endpoint states that it did not run the call.
-    kChunk,          //!< The next piece of a streamed answer.
+    kChunk,          //!< The next chunk of a streamed answer.
     kEnd,            //!< The answer is complete.
     kCut,            //!< The connection ended after bytes were sent.
     kError,          //!< The endpoint answered with an error.
   };
 
   Kind kind = Kind::kCut;
-  uint64_t sequence = 0;  //!< Of a chunk, from 0; of kEnd: chunks in all.
-  std::string data;       //!< Chunk, or the body of a plain answer.
-  int status = 0;         //!< HTTP status.
+  //! Index of a chunk, from 0; for kEnd the number of chunks.
+  uint64_t sequence = 0;
+  std::string data;  //!< The chunk, or the body of a plain answer.
+  int status = 0;    //!< HTTP status.
   int64_t prompt_tokens = 0;
   int64_t completion_tokens = 0;
   bool last_chunk = false;  //!< The chunk carries the final event's data.
--- a/tests/coordination/request_flow_test.cpp
+++ b/tests/coordination/request_flow_test.cpp
@@ -25,8 +25,8 @@
     return RequestFlow(spec, &retries_);
   }
 
-  //! Brings a flow to where its call runs at an endpoint.
-  void Run(RequestFlow& flow) {
+  //! Advances a flow until its call runs at an endpoint.
+  void AdvanceToRunning(RequestFlow& flow) {
     flow.Start(now_);
     flow.OnContent(now_, ResultCode::kOk);
     flow.OnReserveReply(now_, ReserveReply{9, 1000, 7, 100});
@@ -55,9 +55,9 @@
   Millis now_{0};
 };
 
-TEST_F(RequestFlowTest, FinalEventWaitsForTheCharge) {
+TEST_F(RequestFlowTest, FinalEventIsSentOnlyAfterTheChargeIsSafe) {
   RequestFlow flow = Make(true);
-  Run(flow);
+  AdvanceToRunning(flow);
   flow.OnUpstream(now_, Event(Kind::kChunk, 0));
   const auto end = flow.OnUpstream(now_, Event(Kind::kEnd, 1));
   ASSERT_NE(Find<SettleCharge>(end), nullptr);
@@ -66,25 +66,25 @@
   EXPECT_EQ(Find<FinishRequest>(settled)->code, ResultCode::kOk);
 }
 
-TEST_F(RequestFlowTest, ChargeNeverExceedsTheReservation) {
+TEST_F(RequestFlowTest, UsageAboveTheReservationIsChargedUpToTheReservation) {
   RequestFlow flow = Make(true);
-  Run(flow);
+  AdvanceToRunning(flow);
   UpstreamEvent end = Event(Kind::kEnd);
   end.completion_tokens = 1000000;
   const auto actions = flow.OnUpstream(now_, end);
   EXPECT_EQ(Find<SettleCharge>(actions)->request.charge.tokens, 100);
 }
 
-//! What a caller is told when a call ends this way.
-struct EndCase {
+//! Expected result of a call whose attempts all end with `kind`.
+struct AttemptEndCase {
   Kind kind;
   bool repeatable;
   ResultCode code;
   RunState run_state;
 };
 
-TEST_F(RequestFlowTest, EndsTellTheTruthAboutTheRun) {
-  const EndCase kCases[] = {
+TEST_F(RequestFlowTest, ResultStatesWhetherTheCallRan) {
+  const AttemptEndCase kCases[] = {
       {Kind::kConnectFailed, true, ResultCode::kNoEndpoint, RunState::kNotRun},
       {Kind::kConnectFailed, false, ResultCode::kNoEndpoint, RunState::kNotRun},
       {Kind::kRefused, true, ResultCode::kEndpointRefused, RunState::kNotRun},
@@ -95,9 +95,9 @@
       {Kind::kError, false, ResultCode::kEndpointError,
        RunState::kOutcomeUnknown},
   };
-  for (const EndCase& it : kCases) {
+  for (const AttemptEndCase& it : kCases) {
     RequestFlow flow = Make(it.repeatable);
-    Run(flow);
+    AdvanceToRunning(flow);
     RequestFlow::Actions actions = flow.OnUpstream(now_, Event(it.kind));
     while (Find<FinishRequest>(actions) == nullptr) {
       ASSERT_NE(Find<DispatchCall>(actions), nullptr);
@@ -114,17 +114,17 @@
   }
 }
 
-TEST_F(RequestFlowTest, NonRepeatableCallIsNeverSentTwiceAfterBytesWereSent) {
+TEST_F(RequestFlowTest, NonRepeatableCallIsNotResentAfterBytesWereSent) {
   RequestFlow flow = Make(false);
-  Run(flow);
+  AdvanceToRunning(flow);
   const auto actions = flow.OnUpstream(now_, Event(Kind::kCut));
   EXPECT_EQ(Find<DispatchCall>(actions), nullptr);
 }
 
-TEST_F(RequestFlowTest, BrokenStreamResumesOnlyWhereTheAnswerStaysWhole) {
+TEST_F(RequestFlowTest, AbortedStreamIsResumedOnlyIfTheServiceIsResumable) {
   for (const bool resumable : {false, true}) {
     RequestFlow flow = Make(true, resumable);
-    Run(flow);
+    AdvanceToRunning(flow);
     flow.OnUpstream(now_, Event(Kind::kChunk, 0));
     flow.OnUpstream(now_, Event(Kind::kCut));
     const auto actions = flow.OnCrashVerdict(now_, false);
@@ -139,9 +139,9 @@
   }
 }
 
-TEST_F(RequestFlowTest, ChunksOutOfOrderNeverReachTheCaller) {
+TEST_F(RequestFlowTest, DuplicateChunkIsDroppedAndAGapCancelsTheCall) {
   RequestFlow flow = Make(true, true);
-  Run(flow);
+  AdvanceToRunning(flow);
   flow.OnUpstream(now_, Event(Kind::kChunk, 0));
   EXPECT_EQ(Find<ForwardChunk>(flow.OnUpstream(now_, Event(Kind::kChunk, 0))),
             nullptr);
@@ -150,28 +150,28 @@
   EXPECT_NE(Find<CancelCall>(gap), nullptr);
 }
 
-TEST_F(RequestFlowTest, AnswerWithMissingChunksIsNotWhole) {
+TEST_F(RequestFlowTest, AnswerWithMissingChunksIsNotCharged) {
   RequestFlow flow = Make(true);
-  Run(flow);
+  AdvanceToRunning(flow);
   flow.OnUpstream(now_, Event(Kind::kChunk, 0));
   const auto actions = flow.OnUpstream(now_, Event(Kind::kEnd, 2));
   EXPECT_EQ(Find<SettleCharge>(actions), nullptr);
 }
 
-TEST_F(RequestFlowTest, RetriesEndWithTheRetryBudget) {
-  RetryBudget none(0, 0);
+TEST_F(RequestFlowTest, ExhaustedRetryBudgetEndsTheRequest) {
+  RetryBudget exhausted(0, 0);
   FlowSpec spec;
   spec.attempt = 9;
-  RequestFlow flow(spec, &none);
-  Run(flow);
+  RequestFlow flow(spec, &exhausted);
+  AdvanceToRunning(flow);
   flow.OnUpstream(now_, Event(Kind::kCut));
   const auto actions = flow.OnCrashVerdict(now_, false);
   EXPECT_EQ(Find<FinishRequest>(actions)->code, ResultCode::kRetryBudgetSpent);
 }
 
-TEST_F(RequestFlowTest, CrashIsRecordedBeforeTheRepeat) {
+TEST_F(RequestFlowTest, CrashIsRecordedBeforeARetry) {
   RequestFlow flow = Make(true);
-  Run(flow);
+  AdvanceToRunning(flow);
   flow.OnUpstream(now_, Event(Kind::kCut));
   const auto crash = flow.OnCrashVerdict(now_, true);
   EXPECT_NE(Find<RecordCrash>(crash), nullptr);
@@ -180,38 +180,41 @@
   EXPECT_EQ(Find<FinishRequest>(refused)->code, ResultCode::kPoisonRequest);
 }
 
-TEST_F(RequestFlowTest, CallerWhoLeavesIsNotBilledButAFeeStillEnds) {
-  RequestFlow chat = Make(true);
-  Run(chat);
-  const auto gone = chat.OnCallerGone(now_, ResultCode::kCallerGone);
-  EXPECT_NE(Find<CancelCall>(gone), nullptr);
-  EXPECT_NE(Find<ReservationEnd>(gone), nullptr);
-
-  RequestFlow fee = Make(false);
-  Run(fee);
-  EXPECT_TRUE(fee.OnCallerGone(now_, ResultCode::kCallerGone).empty());
-  const auto end = fee.OnUpstream(now_, Event(Kind::kEnd));
+TEST_F(RequestFlowTest,
+       DisconnectIsNotBilledAndOnlyARepeatableCallIsCancelled) {
+  RequestFlow repeatable_flow = Make(true);
+  AdvanceToRunning(repeatable_flow);
+  const auto disconnected =
+      repeatable_flow.OnCallerGone(now_, ResultCode::kCallerGone);
+  EXPECT_NE(Find<CancelCall>(disconnected), nullptr);
+  EXPECT_NE(Find<ReservationEnd>(disconnected), nullptr);
+
+  RequestFlow non_repeatable_flow = Make(false);
+  AdvanceToRunning(non_repeatable_flow);
+  EXPECT_TRUE(
+      non_repeatable_flow.OnCallerGone(now_, ResultCode::kCallerGone).empty());
+  const auto end = non_repeatable_flow.OnUpstream(now_, Event(Kind::kEnd));
   EXPECT_NE(Find<NoteRecord>(end), nullptr);
   EXPECT_EQ(Find<SettleCharge>(end), nullptr);
 }
 
-TEST_F(RequestFlowTest, UnansweredReservationEndsWithoutARun) {
+TEST_F(RequestFlowTest, ReservationTimeoutEndsTheRequestAsNotRun) {
   for (const bool repeatable : {true, false}) {
     RequestFlow flow = Make(repeatable);
     flow.Start(now_);
     flow.OnContent(now_, ResultCode::kOk);
-    const auto late = flow.OnTick(now_ + kSecond * 5);
-    EXPECT_EQ(Find<FinishRequest>(late)->run_state, RunState::kNotRun);
-    EXPECT_EQ(Find<ReservationEnd>(late)->abandon, !repeatable);
-    // A grant that comes now changes nothing.
+    const auto timed_out = flow.OnTick(now_ + kSecond * 5);
+    EXPECT_EQ(Find<FinishRequest>(timed_out)->run_state, RunState::kNotRun);
+    EXPECT_EQ(Find<ReservationEnd>(timed_out)->abandon, !repeatable);
+    // A grant that arrives after the timeout is ignored.
     EXPECT_TRUE(
         flow.OnReserveReply(now_, ReserveReply{9, 1000, 7, 100}).empty());
   }
 }
 
-TEST_F(RequestFlowTest, UnsafeChargeWithholdsTheAnswer) {
+TEST_F(RequestFlowTest, UnsafeChargeEndsTheRequestWithChargeNotSafe) {
   RequestFlow flow = Make(true);
-  Run(flow);
+  AdvanceToRunning(flow);
   flow.OnUpstream(now_, Event(Kind::kEnd));
   const auto actions = flow.OnSettled(now_, false);
   EXPECT_EQ(Find<FinishRequest>(actions)->code, ResultCode::kChargeNotSafe);
