--- a/src/coordination/catalog.cpp
+++ b/src/coordination/catalog.cpp
@@ -16,7 +16,8 @@
 constexpr int kLowestPriority = 9;
 constexpr int kDefaultPriority = 5;
 
-//! Collects the declarations of all files, then checks what refers to what.
+//! Collects the declarations of all files, then validates the references
+//! between them.
 class CatalogParser {
  public:
   CatalogParser(uint64_t version, std::vector<SettingFault>* faults)
@@ -25,7 +26,7 @@
   }
 
   void ReadFile(const ConfigFile& file) {
-    file_ = file.path;
+    current_file_ = file.path;
     IniReader reader(file.path, file.text, faults_);
     for (const std::string& section : reader.Sections()) {
       const size_t space = section.find(' ');
@@ -47,7 +48,8 @@
     }
     for (const auto& [name, organisation] : catalog_.organisations) {
       if (organisation.budget.empty()) {
-        Fault("organisation", name, "", name, "an organisation with a budget");
+        AddFault("organisation", name, "", name,
+                 "an organisation with a budget");
       }
     }
     for (const auto& [name, endpoint] : catalog_.endpoints) {
@@ -56,8 +58,8 @@
     for (const auto& [name, placement] : catalog_.placements) {
       CheckService("placement", name, placement.service);
       if (placement.max_copies < placement.min_copies) {
-        Fault("placement", name, "max_copies",
-              absl::StrCat(placement.max_copies), "min_copies or more");
+        AddFault("placement", name, "max_copies",
+                 absl::StrCat(placement.max_copies), "min_copies or more");
       }
     }
     CheckModels();
@@ -74,13 +76,13 @@
                    const std::string& section,
                    const std::string& kind,
                    const std::string& name) {
-    const auto previous = owners_.find(section);
-    if (previous != owners_.end()) {
+    const auto previous = section_files_.find(section);
+    if (previous != section_files_.end()) {
       reader.AddFault(
           section, "", section,
           absl::StrCat("one declaration; ", previous->second, " has another"));
     }
-    owners_.try_emplace(section, file_);
+    section_files_.try_emplace(section, current_file_);
     if (kind == "organisation") {
       ReadOrganisation(reader, section, name);
     } else if (kind == "budget") {
@@ -198,14 +200,14 @@
   void LinkBudget(const BudgetDeclaration& budget) {
     auto it = catalog_.organisations.find(budget.organisation);
     if (it == catalog_.organisations.end()) {
-      Fault("budget", budget.name, "organisation", budget.organisation,
-            "a declared organisation");
+      AddFault("budget", budget.name, "organisation", budget.organisation,
+               "a declared organisation");
       return;
     }
     if (!it->second.budget.empty()) {
-      Fault("budget", budget.name, "organisation", budget.organisation,
-            absl::StrCat("an organisation without a budget; it has ",
-                         it->second.budget));
+      AddFault("budget", budget.name, "organisation", budget.organisation,
+               absl::StrCat("an organisation without a budget; it has ",
+                            it->second.budget));
       return;
     }
     it->second.budget = budget.name;
@@ -215,7 +217,7 @@
                     const std::string& name,
                     const std::string& service) {
     if (!service.empty() && !catalog_.services.contains(service)) {
-      Fault(kind, name, "service", service, "a declared service");
+      AddFault(kind, name, "service", service, "a declared service");
     }
   }
 
@@ -225,29 +227,29 @@
       if (service.kind != ServiceSpec::Kind::kModel) {
         continue;
       }
-      const auto [it, first] = models.try_emplace(service.model, name);
-      if (!first) {
-        Fault(
+      const auto [it, inserted] = models.try_emplace(service.model, name);
+      if (!inserted) {
+        AddFault(
             "service", name, "model", service.model,
             absl::StrCat("a model of one service; ", it->second, " offers it"));
       }
     }
   }
 
-  void Fault(const std::string& kind,
-             const std::string& name,
-             const std::string& key,
-             const std::string& read,
-             const std::string& allowed) {
+  void AddFault(const std::string& kind,
+                const std::string& name,
+                const std::string& key,
+                const std::string& read,
+                const std::string& allowed) {
     const std::string section = absl::StrCat(kind, " ", name);
     faults_->push_back({"declarations", section, key, read, allowed});
   }
 
   Catalog catalog_;
   std::vector<SettingFault>* faults_;
-  std::string file_;  //!< Being read.
+  std::string current_file_;  //!< Path of the file being read.
   std::map<std::string, BudgetDeclaration> budgets_;
-  std::map<std::string, std::string> owners_;  //!< File by section.
+  std::map<std::string, std::string> section_files_;  //!< Path by section.
 };
 
 }  // namespace
--- a/src/coordination/catalog.h
+++ b/src/coordination/catalog.h
@@ -15,8 +15,8 @@
 
 namespace tamaracktrail {
 
-//! The declarations of one configuration, checked as a whole. Immutable once
-//! parsed, and then thread-safe.
+//! The declarations of one configuration, validated together. Immutable and
+//! therefore thread-safe once parsed.
 struct Catalog {
   uint64_t version = 0;
   std::map<std::string, OrganisationSpec> organisations;
@@ -24,18 +24,18 @@
   std::map<std::string, EndpointSpec> endpoints;
   std::map<std::string, PlacementSpec> placements;
 
-  //! The service that offers a model, if any.
+  //! Returns the service that offers a model, or null.
   const ServiceSpec* ServiceOfModel(const std::string& model) const;
 
-  //! The organisation that a bearer token "ORGANISATION.SECRET" names, if its
-  //! key is right.
+  //! Returns the organisation that a bearer token "ORGANISATION.SECRET" names,
+  //! or null if it is not declared or the secret is none of its keys.
   const OrganisationSpec* Authenticate(const std::string& token) const;
 
   friend bool operator==(const Catalog&, const Catalog&) = default;
 };
 
-//! Parses and checks a set of declaration files. Adds to `faults` whatever is
-//! wrong; the result counts only where it added none. Thread-safe.
+//! Parses and validates a set of declaration files. Appends each error to
+//! `faults`; the result is valid only if none was appended. Thread-safe.
 Catalog ParseCatalog(uint64_t version,
                      const std::vector<ConfigFile>& files,
                      std::vector<SettingFault>* faults);
--- a/src/coordination/organisation_spec.h
+++ b/src/coordination/organisation_spec.h
@@ -20,7 +20,7 @@
                          const OrganisationSpec&) = default;
 };
 
-//! The form in which a key is declared. Thread-safe.
+//! Returns the salted hash of a key in the format of `key_hashes`. Thread-safe.
 std::string HashKey(const std::string& salt, const std::string& secret);
 
 }  // namespace tamaracktrail
--- a/src/coordination/service_spec.h
+++ b/src/coordination/service_spec.h
@@ -15,16 +15,17 @@
 
   std::string name;
   Kind kind = Kind::kModel;
-  std::string owner;       //!< Team that answers for the service.
-  std::string model;       //!< Model name callers use; for kModel.
-  bool resumable = false;  //!< A resumed answer equals the whole answer.
-  int priority = 5;        //!< Added to the organisation's, 5 being neutral.
-  int64_t cost = 1;        //!< Tokens a call of a plain service costs.
+  std::string owner;       //!< Team responsible for the service.
+  std::string model;       //!< Model name in requests; for kModel only.
+  bool resumable = false;  //!< A resumed answer equals the complete one.
+  int priority = 5;        //!< Offset to the organisation's; 5 is neutral.
+  int64_t cost = 1;        //!< Tokens charged per call; for kPlain only.
   int64_t max_tokens = 4096;
   Millis deadline{30000};                   //!< Longest wait in the queue.
   std::vector<std::string> non_repeatable;  //!< "METHOD /path-prefix".
 
-  //! Whether a call may be run again after it may have run. Thread-safe.
+  //! Whether a call may be sent again after it may already have run.
+  //! Thread-safe.
   bool Repeatable(const std::string& method, const std::string& path) const;
 
   friend bool operator==(const ServiceSpec&, const ServiceSpec&) = default;
