--- a/src/state/call_kind.h
+++ b/src/state/call_kind.h
@@ -3,11 +3,11 @@
 
 namespace tamaracktrail {
 
-//! What may be repeated about a call.
+//! Whether a call may run more than once.
 enum class CallKind {
   kSafe,    //!< May run more than once.
   kUnsafe,  //!< Runs at most once.
-  kStream,  //!< Answers with events; runs at most once unless resumable.
+  kStream,  //!< Event stream; runs at most once unless resumable.
 };
 
 }  // namespace tamaracktrail
--- a/src/state/caller_limits.h
+++ b/src/state/caller_limits.h
@@ -7,7 +7,7 @@
 
 namespace tamaracktrail {
 
-//! Bounds on what a caller may send and how long it may take.
+//! Limits on the size of a caller's requests and on the time that it may take.
 struct CallerLimits {
   uint32_t max_header_bytes = 16 * 1024;
   uint64_t max_body_bytes = 4 * 1024 * 1024;
--- a/src/state/route.h
+++ b/src/state/route.h
@@ -9,9 +9,9 @@
 
 namespace tamaracktrail {
 
-//! One route of a configuration. Immutable once the configuration is built.
+//! One route of a configuration. Not modified after the configuration is built.
 struct Route {
-  //! One service of a split route.
+  //! One of the services among which the route divides its requests.
   struct Part {
     std::string service;
     int weight = 1;
@@ -21,19 +21,19 @@
 
   std::string name;
   std::string host;
-  std::string path_prefix;  //!< Begins and ends with a slash.
+  std::string path_prefix;  //!< Starts and ends with a slash.
   CallKind kind = CallKind::kUnsafe;
-  bool resumable = false;  //!< A stream may go on at another endpoint.
-  bool is_public = false;  //!< Needs no key.
-  int priority = 0;        //!< 0 is the most urgent.
-  int max_attempts = 1;    //!< Endpoints that one request may be sent to.
-  Millis timeout;          //!< Longest time until the answer is complete.
-  Millis objective;        //!< To the answer, of streams to the first event.
-  Millis gap_objective;    //!< Longest pause between two events of a stream.
-  Millis patience;         //!< Without an event for longer, callers leave.
+  bool resumable = false;  //!< Another endpoint may continue a stream.
+  bool is_public = false;  //!< Requires no API key.
+  int priority = 0;        //!< 0 is the highest.
+  int max_attempts = 1;    //!< Largest number of endpoints tried per request.
+  Millis timeout;          //!< Longest time to the complete answer.
+  Millis objective;        //!< Time to the answer or a stream's first event.
+  Millis gap_objective;    //!< Longest gap between two events of a stream.
+  Millis patience;         //!< Longest gap before callers disconnect.
   std::vector<Part> split;
 
-  //! Whether a second run does no harm.
+  //! Whether a request may safely run more than once.
   bool repeatable() const {
     return kind == CallKind::kSafe || (kind == CallKind::kStream && resumable);
   }
--- a/src/state/routed_service.h
+++ b/src/state/routed_service.h
@@ -6,17 +6,18 @@
 
 namespace tamaracktrail {
 
-//! One service of a configuration, with what its endpoints have in common.
+//! One service of a configuration, with the properties that all of its
+//! endpoints share.
 struct RoutedService {
   std::string name;
-  int connection_limit = 0;  //!< Of one endpoint, over all callers.
-  bool generates = false;    //!< Its endpoints are model engines.
-  int slots = 0;             //!< Requests that an engine runs at once.
-  int64_t cache_tokens = 0;  //!< Memory of an engine.
-  //! Tokens that an event of a stream holds; 0 where the service says nothing.
+  int connection_limit = 0;     //!< Per endpoint, over all callers.
+  bool generates = false;       //!< Its endpoints are model engines.
+  int slots = 0;                //!< Concurrent requests per engine.
+  int64_t kv_cache_tokens = 0;  //!< Capacity of an engine's KV cache.
+  //! Tokens per event of a stream; 0 if the service does not specify it.
   int event_tokens = 0;
-  int64_t token_bytes = 0;  //!< Memory of one token.
-  double link_mbps = 0;     //!< Between engines, for memory that moves.
+  int64_t token_bytes = 0;  //!< KV cache bytes per token.
+  double link_mbps = 0;     //!< Between engines, for KV cache transfers.
 
   friend bool operator==(const RoutedService&, const RoutedService&) = default;
 };
--- a/src/state/routing_config.cpp
+++ b/src/state/routing_config.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-//! Host without its port, in lower case.
-std::string HostName(std::string_view host) {
+//! Returns the host without its port, in lower case.
+std::string NormalizeHost(std::string_view host) {
   const std::string text(host.substr(0, host.find(':')));
   return absl::AsciiStrToLower(text);
 }
@@ -28,7 +28,7 @@
       organisations_(std::move(organisations)),
       limits_(limits) {
   for (size_t i = 0; i < routes_.size(); ++i) {
-    by_host_[HostName(routes_[i].host)].push_back(i);
+    by_host_[NormalizeHost(routes_[i].host)].push_back(i);
   }
   for (auto& [host, indexes] : by_host_) {
     std::stable_sort(indexes.begin(), indexes.end(), [&](size_t a, size_t b) {
@@ -47,13 +47,13 @@
 
 const Route* RoutingConfig::FindRoute(std::string_view host,
                                       std::string_view path) const {
-  const auto it = by_host_.find(HostName(host));
+  const auto it = by_host_.find(NormalizeHost(host));
   if (it == by_host_.end()) {
     return nullptr;
   }
-  const std::string_view plain = path.substr(0, path.find('?'));
+  const std::string_view path_without_query = path.substr(0, path.find('?'));
   for (const size_t i : it->second) {
-    if (plain.substr(0, routes_[i].path_prefix.size()) ==
+    if (path_without_query.substr(0, routes_[i].path_prefix.size()) ==
         routes_[i].path_prefix) {
       return &routes_[i];
     }
--- a/src/state/routing_config.h
+++ b/src/state/routing_config.h
@@ -14,8 +14,8 @@
 
 namespace tamaracktrail {
 
-//! One version of the configuration, indexed for look-ups. Immutable and
-//! thread-safe once built.
+//! One version of the configuration, indexed for lookups. Immutable, hence
+//! thread-safe.
 class RoutingConfig {
  public:
   RoutingConfig(int64_t version,
@@ -30,17 +30,18 @@
     return organisations_;
   }
 
-  //! The route of the host with the longest prefix of `path`, which may carry a
-  //! query; nullptr for none.
+  //! Returns the route of `host` with the longest prefix of `path`; nullptr if
+  //! none matches. Ignores the port of `host` and the query of `path`.
   const Route* FindRoute(std::string_view host, std::string_view path) const;
 
-  //! nullptr for an unknown service.
+  //! Returns nullptr for an unknown service.
   const RoutedService* FindService(const std::string& name) const;
 
-  //! The organisation that holds a key; nullptr for none.
+  //! Returns the organisation that holds an API key; nullptr for an unknown
+  //! key.
   const Organisation* FindByKey(const std::string& key) const;
 
-  //! Whether keys are asked for at all.
+  //! Whether routes that are not public require an API key.
   bool has_organisations() const { return !organisations_.empty(); }
 
  private:
@@ -49,7 +50,7 @@
   std::vector<RoutedService> services_;
   std::vector<Organisation> organisations_;
   CallerLimits limits_;
-  //! Indexes of routes by host, longest prefix first.
+  //! Indexes into `routes_` by host, longest prefix first.
   std::unordered_map<std::string, std::vector<size_t>> by_host_;
   std::unordered_map<std::string, size_t> by_service_;
   std::unordered_map<std::string, size_t> by_key_;
