--- a/src/protocol/call_dialect.h
+++ b/src/protocol/call_dialect.h
@@ -11,23 +11,24 @@
 
 class HttpFields;
 
-//! Names of the header fields that callers and endpoints use, and how a
-//! generation request describes its prompt. Filled in where the surroundings
-//! are known; the relay itself knows no names. Immutable.
+//! Names of the header fields that callers and endpoints use, and the function
+//! that parses the prompt description of a generation request. The platform
+//! fills it in; the relay itself contains no platform-specific names. Immutable
+//! after that.
 struct CallDialect {
-  std::string request_id;         //!< One attempt of a caller.
-  std::string deadline;           //!< How long the sender waits, milliseconds.
+  std::string request_id;         //!< Identifies one attempt of a caller.
+  std::string deadline;           //!< Time that the sender waits, in ms.
   std::string expected_endpoint;  //!< Only this endpoint may run the request.
-  std::string organisation;       //!< Whose key the caller holds.
-  std::string priority;           //!< 0 to 9, 0 first.
-  std::string signature;          //!< Only an endpoint's own answers bear it.
-  std::string not_run;            //!< The endpoint did not run the request.
-  std::string last_event_id;      //!< Resumes a stream behind this event.
-  std::string fetch_prefix_from;  //!< Engine that holds the prompt's beginning.
-  //! Fields of a caller that are not passed on, those above included where the
-  //! relay sets them.
+  std::string organisation;       //!< Owner of the caller's API key.
+  std::string priority;           //!< 0 to 9; 0 is the highest.
+  std::string signature;      //!< Present in an endpoint's own answers only.
+  std::string not_run;        //!< The endpoint did not run the request.
+  std::string last_event_id;  //!< Resumes a stream after this event.
+  std::string fetch_prefix_from;  //!< Engine that has the prefix cached.
+  //! Caller fields that are not forwarded. They include the fields above that
+  //! the relay sets itself.
   std::vector<std::string> not_forwarded;
-  //! The prompt as the request describes it; nullopt where it has none.
+  //! Parses the prompt description of a request; nullopt if it has none.
   std::optional<PromptShape> (*read_prompt)(const HttpFields& fields) = nullptr;
 };
 
--- a/src/protocol/event_cutter.cpp
+++ b/src/protocol/event_cutter.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-//! End of the first event in `text`: behind its blank line; npos for none.
+//! Returns the end of the first event in `text`, after its blank line; npos if
+//! no event is complete.
 size_t EventEnd(std::string_view text) {
   const size_t lf = text.find("\n\n");
   const size_t crlf = text.find("\r\n\r\n");
@@ -22,7 +23,7 @@
   return lf == std::string_view::npos ? lf : lf + 2;
 }
 
-//! Value of the event's id field; empty for none.
+//! Returns the value of the event's id field; empty if it has none.
 std::string_view EventId(std::string_view event) {
   size_t at = 0;
   while (at < event.size()) {
@@ -46,10 +47,10 @@
 }  // namespace
 
 std::string EventCutter::Feed(std::string_view bytes) {
-  buf_.append(bytes);
-  std::string whole;
+  buffer_.append(bytes);
+  std::string complete;
   size_t at = 0;
-  const std::string_view all = buf_;
+  const std::string_view all = buffer_;
   while (true) {
     const size_t end = EventEnd(all.substr(at));
     if (end == std::string_view::npos) {
@@ -58,7 +59,7 @@
     const std::string_view event = all.substr(at, end);
     std::string id;
     if (!IsRepeated(event, &id)) {
-      whole.append(event);
+      complete.append(event);
       ++count_;
       if (!id.empty()) {
         last_id_ = std::move(id);
@@ -66,8 +67,8 @@
     }
     at += end;
   }
-  buf_.erase(0, at);
-  return whole;
+  buffer_.erase(0, at);
+  return complete;
 }
 
 bool EventCutter::IsRepeated(std::string_view event, std::string* id) const {
@@ -80,7 +81,7 @@
 }
 
 std::string EventCutter::TakeRest() {
-  return std::exchange(buf_, {});
+  return std::exchange(buffer_, {});
 }
 
 }  // namespace tamaracktrail
--- a/src/protocol/event_cutter.h
+++ b/src/protocol/event_cutter.h
@@ -7,30 +7,30 @@
 
 namespace tamaracktrail {
 
-//! Cuts a stream of server-sent events behind whole events, without changing
-//! their bytes. Not thread-safe.
+//! Splits a stream of server-sent events at event boundaries without changing
+//! the bytes of the events. Not thread-safe.
 class EventCutter {
  public:
-  //! Adds bytes and returns those of the whole events that are new to the
-  //! caller: events with an id up to `last_id`, which a resumed stream may
-  //! repeat, are left out.
+  //! Adds bytes and returns the complete events that the caller has not
+  //! received yet: events whose id is not above `last_id`, which a resumed
+  //! stream may repeat, are dropped.
   std::string Feed(std::string_view bytes);
 
-  //! The stream goes on from another source; a part of an event is forgotten.
-  void Restart() { buf_.clear(); }
+  //! The stream continues from another source: discards an incomplete event.
+  void Restart() { buffer_.clear(); }
 
-  //! Bytes of an event that is not whole, which are given up.
+  //! Removes and returns the bytes of an incomplete event.
   std::string TakeRest();
 
-  //! Events passed on so far.
+  //! Number of events returned so far.
   int64_t count() const { return count_; }
-  //! Id of the last event passed on; empty for none.
+  //! Id of the last returned event that has one; empty if there is none.
   const std::string& last_id() const { return last_id_; }
 
  private:
   bool IsRepeated(std::string_view event, std::string* id) const;
 
-  std::string buf_;
+  std::string buffer_;
   int64_t count_ = 0;
   std::string last_id_;
 };
