--- a/src/cli/relay_settings.cpp
+++ b/src/cli/relay_settings.cpp
@@ -8,22 +8,24 @@
 
 namespace {
 
-//! Descriptors: callers, endpoints and files need some hundreds at least.
-constexpr int64_t kLeastDescriptors = 64;
-constexpr int64_t kMostDescriptors = 1000000;
+//! Limits of the descriptor setting. Callers, endpoints and files need at least
+//! several hundred descriptors.
+constexpr int64_t kMinDescriptors = 64;
+constexpr int64_t kMaxDescriptors = 1000000;
 
-//! What the platform's smallest store takes, over all instances.
-constexpr int64_t kDefaultReads = 2000;
-constexpr int64_t kDefaultWrites = 800;
-constexpr int64_t kMostCalls = 1000000;
+//! Call rates that the platform's smallest store accepts from all instances
+//! together.
+constexpr int64_t kDefaultReadsPerS = 2000;
+constexpr int64_t kDefaultWritesPerS = 800;
+constexpr int64_t kMaxCallsPerS = 1000000;
 
-constexpr int64_t kLeastGraceMs = 500;
+constexpr int64_t kMinGraceMs = 500;
 constexpr int64_t kDefaultGraceMs = 8000;
-constexpr int64_t kMostGraceMs = 600000;
+constexpr int64_t kMaxGraceMs = 600000;
 
-constexpr double kMostRetryExtra = 1e6;
+constexpr double kMaxRetryExtra = 1e6;
 
-std::string Address(IniReader* ini, const char* section, const char* key) {
+std::string ReadAddress(IniReader* ini, const char* section, const char* key) {
   const std::string text = ini->String(section, key, true).value_or("");
   if (!text.empty() && !IsAddress(text)) {
     ini->AddFault(section, key, text, "an address as IP:port");
@@ -44,21 +46,21 @@
   }
   settings.data_centre =
       ini.String("instance", "data_centre", true).value_or("");
-  settings.callers_address = Address(&ini, "listen", "callers");
-  settings.health_address = Address(&ini, "listen", "health");
-  settings.peers_address = Address(&ini, "listen", "peers");
-  settings.metrics_address = Address(&ini, "listen", "metrics");
-  settings.store_address = Address(&ini, "store", "address");
-  settings.store_reads = static_cast<int>(
-      ini.Integer("store", "reads_per_s", kDefaultReads, 1, kMostCalls));
-  settings.store_writes = static_cast<int>(
-      ini.Integer("store", "writes_per_s", kDefaultWrites, 1, kMostCalls));
+  settings.callers_address = ReadAddress(&ini, "listen", "callers");
+  settings.health_address = ReadAddress(&ini, "listen", "health");
+  settings.peers_address = ReadAddress(&ini, "listen", "peers");
+  settings.metrics_address = ReadAddress(&ini, "listen", "metrics");
+  settings.store_address = ReadAddress(&ini, "store", "address");
+  settings.store_reads_per_s = static_cast<int>(
+      ini.Integer("store", "reads_per_s", kDefaultReadsPerS, 1, kMaxCallsPerS));
+  settings.store_writes_per_s = static_cast<int>(ini.Integer(
+      "store", "writes_per_s", kDefaultWritesPerS, 1, kMaxCallsPerS));
   settings.file_descriptors = static_cast<int>(ini.Integer(
-      "limits", "file_descriptors", 1024, kLeastDescriptors, kMostDescriptors));
-  settings.grace = Millis(ini.Integer("limits", "grace_ms", kDefaultGraceMs,
-                                      kLeastGraceMs, kMostGraceMs));
+      "limits", "file_descriptors", 1024, kMinDescriptors, kMaxDescriptors));
+  settings.grace_period = Millis(ini.Integer(
+      "limits", "grace_ms", kDefaultGraceMs, kMinGraceMs, kMaxGraceMs));
   settings.retry_ratio = ini.Number("retries", "ratio", 0.2, 0, 1);
-  settings.retry_extra = ini.Number("retries", "extra", 0, 0, kMostRetryExtra);
+  settings.retry_extra = ini.Number("retries", "extra", 0, 0, kMaxRetryExtra);
   ini.CheckNoOthers();
   return settings;
 }
--- a/src/cli/relay_settings.h
+++ b/src/cli/relay_settings.h
@@ -9,26 +9,28 @@
 
 namespace tamaracktrail {
 
-//! Settings of an instance that relays for a platform. Immutable once read.
+//! Settings of an instance that relays requests on a platform. Immutable after
+//! parsing.
 struct RelaySettings {
   std::string instance;
   std::string data_centre;
-  std::string callers_address;  //!< "ip:port", as the ones below.
+  std::string callers_address;  //!< "ip:port", like all addresses below.
   std::string health_address;
   std::string peers_address;
   std::string metrics_address;
   std::string store_address;
-  int store_reads = 2000;  //!< Calls a second, of all instances.
-  int store_writes = 800;  //!< The same for writing calls.
+  int store_reads_per_s = 2000;  //!< Reading calls of all instances together.
+  int store_writes_per_s = 800;  //!< Writing calls of all instances together.
   int file_descriptors = 1024;
-  double retry_ratio = 0.2;  //!< Retries a request, over all instances.
-  double retry_extra = 0;    //!< More retries a window, over all instances.
-  Millis grace;              //!< From the signal to stop until the kill.
+  double retry_ratio = 0.2;  //!< Retries per request, over all instances.
+  double retry_extra = 0;    //!< Extra retries per window, over all instances.
+  Millis grace_period;       //!< From the stop signal to the kill.
 
   friend bool operator==(const RelaySettings&, const RelaySettings&) = default;
 
-  //! Checks the text of a settings file; adds all that is wrong to `faults`.
-  //! The result counts only where it added none. Thread-safe.
+  //! Parses and validates the text of a settings file; `path` names it in the
+  //! faults. Adds each fault to `faults`; the result is valid only if there
+  //! were none. Thread-safe.
   static RelaySettings Parse(const std::string& path,
                              const std::string& text,
                              std::vector<SettingFault>* faults);
--- a/src/cli/request_trace.cpp
+++ b/src/cli/request_trace.cpp
@@ -12,19 +12,21 @@
 
 namespace {
 
-//! Value of a key in a line of key=value pairs; empty for none.
+//! Returns the value of a key in a line of key=value pairs; empty if the key is
+//! absent.
 std::string ValueOf(const std::string& line, const std::string& key) {
-  const std::string wanted = absl::StrCat(" ", key, "=");
+  const std::string prefix = absl::StrCat(" ", key, "=");
   const std::string text = absl::StrCat(" ", line);
-  const size_t at = text.find(wanted);
+  const size_t at = text.find(prefix);
   if (at == std::string::npos) {
     return "";
   }
-  const size_t begin = at + wanted.size();
+  const size_t begin = at + prefix.size();
   return text.substr(begin, text.find(' ', begin) - begin);
 }
 
-//! What a line changes in the instance's knowledge; empty for nothing.
+//! Returns the key under which a line is the latest known state of the
+//! instance, such as "endpoint/ID"; empty if the line changes no state.
 std::string StateKey(const std::string& line) {
   const std::string event = ValueOf(line, "event");
   if (event == "config" || event == "ready" || event == "not_ready" ||
--- a/src/cli/request_trace.h
+++ b/src/cli/request_trace.h
@@ -9,17 +9,18 @@
 
 namespace tamaracktrail {
 
-//! Finds what the logs of the instances say of one request: its own lines, and
-//! what was last known of the things that they name. Not thread-safe.
+//! Collects the log lines of one request from the logs of the instances: its
+//! own lines, and the latest state of the endpoints, budgets, configuration and
+//! store topics that they depend on. Not thread-safe.
 class RequestTrace {
  public:
   explicit RequestTrace(std::string request_id);
 
-  //! Reads the log of one instance. `source` names it in the result.
+  //! Reads the log of one instance. `source` prefixes its lines in the result.
   void Read(const std::string& source, std::istream& in);
 
-  //! One line a record, in the order of their times; empty where the id is in
-  //! no log.
+  //! Returns one line per record, without duplicates, ordered by time; empty if
+  //! no log contains the request id.
   std::vector<std::string> Lines() const;
 
  private:
@@ -31,6 +32,7 @@
     friend auto operator<=>(const Record&, const Record&) = default;
   };
 
+  //! Adds the state that was known when `line` was written.
   void AddContext(const std::string& source,
                   const std::map<std::string, Record>& state,
                   const std::string& line);
--- a/tests/cli/relay_settings_test.cpp
+++ b/tests/cli/relay_settings_test.cpp
@@ -10,7 +10,7 @@
 namespace tamaracktrail {
 namespace {
 
-constexpr char kGood[] =
+constexpr char kValidSettings[] =
     "[instance]\nname = n-1\ndata_centre = a\n"
     "[listen]\ncallers = 10.0.0.1:80\nhealth = 10.0.0.1:81\n"
     "peers = 10.0.0.1:82\nmetrics = 10.0.0.1:83\n"
@@ -18,44 +18,46 @@
     "[limits]\nfile_descriptors = 4100\ngrace_ms = 8000\n"
     "[retries]\nratio = 0.2\nextra = 56\n";
 
-struct BadSettings {
+struct InvalidSettings {
   const char* name;
   const char* from;
   const char* to;
 };
 
-class BadSettingsTest : public testing::TestWithParam<BadSettings> {};
+class InvalidSettingsTest : public testing::TestWithParam<InvalidSettings> {};
 
-TEST_P(BadSettingsTest, AreRefused) {
+TEST_P(InvalidSettingsTest, ReportOneFault) {
   std::vector<SettingFault> faults;
   RelaySettings::Parse(
-      "f", absl::StrReplaceAll(kGood, {{GetParam().from, GetParam().to}}),
+      "f",
+      absl::StrReplaceAll(kValidSettings, {{GetParam().from, GetParam().to}}),
       &faults);
   EXPECT_EQ(faults.size(), 1U);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    BadSettingsTest,
-    testing::Values(BadSettings{"no_name", "name = n-1\n", ""},
-                    BadSettings{"slash", "n-1", "n/1"},
-                    BadSettings{"address", "10.0.0.2:90", "store"},
-                    BadSettings{"ratio", "ratio = 0.2", "ratio = 2"},
-                    BadSettings{"descriptors", "4100", "-1"},
-                    BadSettings{"unknown_key", "extra = 56",
-                                "extra = 56\nother = 1"}),
+    InvalidSettingsTest,
+    testing::Values(InvalidSettings{"no_name", "name = n-1\n", ""},
+                    InvalidSettings{"slash", "n-1", "n/1"},
+                    InvalidSettings{"address", "10.0.0.2:90", "store"},
+                    InvalidSettings{"ratio", "ratio = 0.2", "ratio = 2"},
+                    InvalidSettings{"descriptors", "4100", "-1"},
+                    InvalidSettings{"unknown_key", "extra = 56",
+                                    "extra = 56\nother = 1"}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(RelaySettingsTest, ReadsAllKeys) {
+TEST(RelaySettingsTest, ParsesValidSettings) {
   std::vector<SettingFault> faults;
-  const RelaySettings settings = RelaySettings::Parse("f", kGood, &faults);
+  const RelaySettings settings =
+      RelaySettings::Parse("f", kValidSettings, &faults);
   EXPECT_TRUE(faults.empty());
   EXPECT_EQ(settings.instance, "n-1");
   EXPECT_EQ(settings.peers_address, "10.0.0.1:82");
   EXPECT_EQ(settings.store_address, "10.0.0.2:90");
-  EXPECT_EQ(settings.store_reads, 6000);
-  EXPECT_EQ(settings.store_writes, 800);
-  EXPECT_EQ(settings.grace, Millis(8000));
+  EXPECT_EQ(settings.store_reads_per_s, 6000);
+  EXPECT_EQ(settings.store_writes_per_s, 800);
+  EXPECT_EQ(settings.grace_period, Millis(8000));
   EXPECT_EQ(settings.retry_extra, 56);
 }
 
--- a/tests/cli/request_trace_test.cpp
+++ b/tests/cli/request_trace_test.cpp
@@ -9,8 +9,8 @@
 namespace tamaracktrail {
 namespace {
 
-TEST(RequestTraceTest, ShowsTheRequestsLinesAndWhatWasKnown) {
-  std::istringstream first(
+TEST(RequestTraceTest, ReturnsRequestLinesWithLatestKnownState) {
+  std::istringstream log(
       "time_ms=5 event=config version=3\n"
       "time_ms=6 event=config version=4\n"
       "time_ms=7 event=endpoint endpoint=e1 draining=0\n"
@@ -21,7 +21,7 @@
       "time_ms=20 event=request_end id=wanted status=502 organisation=cedar\n"
       "time_ms=30 event=config version=5\n");
   RequestTrace trace("wanted");
-  trace.Read("node-1", first);
+  trace.Read("node-1", log);
   EXPECT_EQ(trace.Lines(),
             (std::vector<std::string>{
                 "node-1 time_ms=6 event=config version=4",
@@ -31,7 +31,7 @@
                 "organisation=cedar"}));
 }
 
-TEST(RequestTraceTest, AnUnknownIdHasNoLines) {
+TEST(RequestTraceTest, UnknownIdReturnsNoLines) {
   std::istringstream log("time_ms=9 event=send id=other endpoint=e2\n");
   RequestTrace trace("wanted");
   trace.Read("node-1", log);
--- a/tests/platform/decoder_test.cpp
+++ b/tests/platform/decoder_test.cpp
@@ -27,7 +27,7 @@
             "header_timeout_ms":3000,"idle_timeout_ms":15000},
   "tenants":[{"name":"t","api_keys":["k1","k2"],"priority":1,"prepaid":5000}]})";
 
-TEST(ConfigDecoderTest, ReadsRoutesServicesAndOrganisations) {
+TEST(ConfigDecoderTest, ParsesRoutesServicesAndOrganisations) {
   const auto config = DecodeConfig(kConfig);
   ASSERT_TRUE(config.ok()) << config.status();
   EXPECT_EQ((*config)->version(), 7);
@@ -48,7 +48,7 @@
   EXPECT_EQ((*config)->limits().max_body_bytes, 200U);
 }
 
-TEST(ConfigDecoderTest, RefusesDamage) {
+TEST(ConfigDecoderTest, RejectsInvalidText) {
   EXPECT_FALSE(DecodeConfig("").ok());
   EXPECT_FALSE(DecodeConfig("{}").ok());
   EXPECT_FALSE(DecodeConfig("{\"version\":1,\"routes\":[{}]}").ok());
@@ -62,7 +62,7 @@
 
 class EndpointDecoderTest : public testing::TestWithParam<EntryCase> {};
 
-TEST_P(EndpointDecoderTest, TakesOnlyWholeEntries) {
+TEST_P(EndpointDecoderTest, AcceptsOnlyCompleteEntries) {
   EXPECT_EQ(DecodeEndpoint("i", GetParam().text).ok(), GetParam().ok);
 }
 
@@ -70,7 +70,7 @@
     All,
     EndpointDecoderTest,
     testing::Values(
-        EntryCase{"whole",
+        EntryCase{"complete",
                   R"({"service":"s","address":"10.0.0.1:80","zone":"z",
                       "slots":64,"state":"ready","sequence":4,"born":9})",
                   true},
@@ -94,15 +94,15 @@
                   R"({"service":"s","address":"10.0.0.1:80","zone":"z",
                       "slots":"64","state":"ready","sequence":4,"born":9})",
                   false},
-        EntryCase{"start_is_no_whole_number",
+        EntryCase{"start_time_is_not_an_integer",
                   R"({"service":"s","address":"10.0.0.1:80","zone":"z",
                       "slots":64,"state":"ready","sequence":4,"born":9.5})",
                   false},
-        EntryCase{"half", R"({"service":"s","addr)", false},
-        EntryCase{"no_object", "[1]", false}),
+        EntryCase{"truncated", R"({"service":"s","addr)", false},
+        EntryCase{"not_an_object", "[1]", false}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(StoreRecordTest, RecordsKeepTheirKeysAndValues) {
+TEST(StoreRecordTest, EncodedRecordsDecodeToTheSameRecords) {
   const std::string bytes = EncodeRecords({{"k", "v"}, {"gone", ""}});
   const auto batch = DecodeBatch(std::string(15, '\0') + '\2' + bytes);
   ASSERT_TRUE(batch.ok());
@@ -113,7 +113,7 @@
   EXPECT_FALSE(DecodeBatch(std::string(16, '\0') + bytes.substr(1)).ok());
 }
 
-TEST(WireNamesTest, ReadsThePromptOfARequest) {
+TEST(WireNamesTest, ParsesPromptFromHeaderFields) {
   const CallDialect dialect = MakeCallDialect();
   HttpFields fields;
   EXPECT_FALSE(dialect.read_prompt(fields));
--- a/tests/platform/front_test.cpp
+++ b/tests/platform/front_test.cpp
@@ -31,7 +31,7 @@
 
 using nlohmann::json;
 
-//! One instance between stand-ins, all on one thread and one main loop.
+//! Runs one instance between stand-ins, all on one thread and one event loop.
 class FrontTest : public testing::Test {
  protected:
   FrontTest() : store_(&loop_), a_(&loop_, "a"), b_(&loop_, "b") {
@@ -45,7 +45,7 @@
     settings_.file_descriptors = 1024;
     settings_.retry_ratio = 0.2;
     settings_.retry_extra = 50;
-    settings_.grace = Millis(4000);
+    settings_.grace_period = Millis(4000);
     PutConfig(1, 1000000);
     for (StandInEndpoint* it : {&a_, &b_}) {
       PutEndpoint(*it, "app", 1, false);
@@ -86,7 +86,8 @@
     WhenReady(script);
     const absl::Status status = front.Run();
     if (!status.ok()) {
-      // The script has not run, so no expectation of the test makes sense.
+      // The script did not run, so the expectations of the test are
+      // meaningless.
       throw std::runtime_error(status.ToString());
     }
   }
@@ -104,17 +105,18 @@
           });
   }
 
-  //! Calls `then` once `done` holds; fails the test after some seconds.
+  //! Calls `then` once `done` holds; fails the test after `max_polls` polls, 2
+  //! ms apart: 5 s by default.
   void Await(const std::function<bool()>& done,
              const std::function<void()>& then,
-             int looks = 2500) {
+             int max_polls = 2500) {
     if (done()) {
       then();
-    } else if (looks == 0) {
-      ADD_FAILURE() << "waited in vain";
+    } else if (max_polls == 0) {
+      ADD_FAILURE() << "condition did not hold in time";
       Stop();
     } else {
-      loop_.After(Millis(2), [=, this] { Await(done, then, looks - 1); });
+      loop_.After(Millis(2), [=, this] { Await(done, then, max_polls - 1); });
     }
   }
 
@@ -124,7 +126,8 @@
 
   static void Stop() { raise(SIGTERM); }
 
-  //! What the newest claim locks beyond what was spent, once some was.
+  //! Tokens that the newest claim locks and that are not spent; 0 until a claim
+  //! reports spent tokens.
   int64_t LockedShare() const {
     const auto claim = DecodeBudgetClaim(
         "node-1/cedar", store_.Newest(platform::kBudgetTopic, "node-1/cedar"));
@@ -137,7 +140,7 @@
     return claim ? claim->claimed : 0;
   }
 
-  //! Sends one request and stops after its answer.
+  //! Sends one request and stops the instance after its answer.
   Caller* RunOne(const std::string& request) {
     Caller* caller = nullptr;
     Run([&] {
@@ -152,11 +155,11 @@
   StandInEndpoint a_;
   StandInEndpoint b_;
   RelaySettings settings_;
-  Millis began_;
+  Millis started_at_;
   std::vector<std::unique_ptr<Caller>> callers_;
 };
 
-TEST_F(FrontTest, ForwardsARequestAndItsAnswerUnchanged) {
+TEST_F(FrontTest, ForwardsRequestAndAnswerWithoutReservedFields) {
   Caller* caller = RunOne(SampleRequest(
       "fee", "id-1", "X-Tenant: forged\r\nX-Hold: h\r\nX-Own: kept\r\n"));
   ASSERT_TRUE(caller->whole());
@@ -176,16 +179,17 @@
   EXPECT_EQ(ran.fields.Count("X-Expected-Instance"), 1U);
 }
 
-struct OwnAnswer {
+struct RejectedRequest {
   const char* name;
   const char* request;
   int status;
 };
 
-class OwnAnswerTest : public FrontTest,
-                      public testing::WithParamInterface<OwnAnswer> {};
+class RejectedRequestTest
+    : public FrontTest,
+      public testing::WithParamInterface<RejectedRequest> {};
 
-TEST_P(OwnAnswerTest, SaysWhy) {
+TEST_P(RejectedRequestTest, IsAnsweredWithStatusAndNotRun) {
   Caller* caller = RunOne(GetParam().request);
   EXPECT_EQ(caller->status(), GetParam().status);
   EXPECT_TRUE(a_.ran().empty() && b_.ran().empty());
@@ -193,45 +197,48 @@
 
 INSTANTIATE_TEST_SUITE_P(
     All,
-    OwnAnswerTest,
+    RejectedRequestTest,
     testing::Values(
-        OwnAnswer{"no_route",
-                  "GET /other/ HTTP/1.1\r\nHost: h.example\r\n"
-                  "X-Request-Id: 1\r\nAuthorization: Bearer key-1\r\n\r\n",
-                  404},
-        OwnAnswer{"unknown_host",
-                  "GET /fee/ HTTP/1.1\r\nHost: other\r\n"
-                  "X-Request-Id: 1\r\nAuthorization: Bearer key-1\r\n\r\n",
-                  404},
-        OwnAnswer{"unknown_key",
-                  "GET /fee/ HTTP/1.1\r\nHost: h.example\r\n"
-                  "X-Request-Id: 1\r\nAuthorization: Bearer other\r\n\r\n",
-                  401},
-        OwnAnswer{"no_key",
-                  "GET /fee/ HTTP/1.1\r\nHost: h.example\r\n"
-                  "X-Request-Id: 1\r\n\r\n",
-                  401},
-        OwnAnswer{"no_id",
-                  "GET /fee/ HTTP/1.1\r\nHost: h.example\r\n"
-                  "Authorization: Bearer key-1\r\n\r\n",
-                  400},
-        OwnAnswer{"two_ids",
-                  "GET /fee/ HTTP/1.1\r\nHost: h.example\r\n"
-                  "X-Request-Id: 1\r\nX-Request-Id: 2\r\n"
-                  "Authorization: Bearer key-1\r\n\r\n",
-                  400},
-        OwnAnswer{"ambiguous_framing",
-                  "POST /fee/ HTTP/1.1\r\nHost: h.example\r\n"
-                  "X-Request-Id: 1\r\nContent-Length: 0\r\n"
-                  "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-                  400},
-        OwnAnswer{"body_too_large",
-                  "POST /fee/ HTTP/1.1\r\nHost: h.example\r\n"
-                  "X-Request-Id: 1\r\nContent-Length: 20000\r\n\r\n",
-                  413}),
+        RejectedRequest{
+            "no_route",
+            "GET /other/ HTTP/1.1\r\nHost: h.example\r\n"
+            "X-Request-Id: 1\r\nAuthorization: Bearer key-1\r\n\r\n",
+            404},
+        RejectedRequest{
+            "unknown_host",
+            "GET /fee/ HTTP/1.1\r\nHost: other\r\n"
+            "X-Request-Id: 1\r\nAuthorization: Bearer key-1\r\n\r\n",
+            404},
+        RejectedRequest{
+            "unknown_key",
+            "GET /fee/ HTTP/1.1\r\nHost: h.example\r\n"
+            "X-Request-Id: 1\r\nAuthorization: Bearer other\r\n\r\n",
+            401},
+        RejectedRequest{"no_key",
+                        "GET /fee/ HTTP/1.1\r\nHost: h.example\r\n"
+                        "X-Request-Id: 1\r\n\r\n",
+                        401},
+        RejectedRequest{"no_id",
+                        "GET /fee/ HTTP/1.1\r\nHost: h.example\r\n"
+                        "Authorization: Bearer key-1\r\n\r\n",
+                        400},
+        RejectedRequest{"two_ids",
+                        "GET /fee/ HTTP/1.1\r\nHost: h.example\r\n"
+                        "X-Request-Id: 1\r\nX-Request-Id: 2\r\n"
+                        "Authorization: Bearer key-1\r\n\r\n",
+                        400},
+        RejectedRequest{"ambiguous_framing",
+                        "POST /fee/ HTTP/1.1\r\nHost: h.example\r\n"
+                        "X-Request-Id: 1\r\nContent-Length: 0\r\n"
+                        "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+                        400},
+        RejectedRequest{"body_too_large",
+                        "POST /fee/ HTTP/1.1\r\nHost: h.example\r\n"
+                        "X-Request-Id: 1\r\nContent-Length: 20000\r\n\r\n",
+                        413}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST_F(FrontTest, StreamsEventsAndChargesWhatWasDelivered) {
+TEST_F(FrontTest, StreamsEventsAndChargesDeliveredTokens) {
   UseAsEngines();
   Caller* caller = RunOne(SampleRequest("report", "id-1"));
   ASSERT_TRUE(caller->whole());
@@ -241,13 +248,13 @@
   const auto claim = DecodeBudgetClaim(
       "node-1/cedar", store_.Newest(platform::kBudgetTopic, "node-1/cedar"));
   ASSERT_TRUE(claim);
-  // 1,000 prompt tokens and five events of five tokens; the rest of the share
-  // went back at the end.
+  // 1,000 prompt tokens and five events of five tokens. The rest of the share
+  // was returned on shutdown.
   EXPECT_EQ(claim->spent, 1025);
   EXPECT_EQ(claim->claimed, 1025);
 }
 
-TEST_F(FrontTest, ARequestBeyondTheBudgetIsRefusedAndDoesNotRun) {
+TEST_F(FrontTest, RequestAboveTheBudgetIsRefusedAndNotRun) {
   UseAsEngines();
   PutConfig(2, 500);
   Caller* caller = RunOne(SampleRequest("report", "id-1"));
@@ -255,7 +262,7 @@
   EXPECT_TRUE(a_.ran().empty() && b_.ran().empty());
 }
 
-TEST_F(FrontTest, ANonRepeatableRequestRunsOnceWhenItsAnswerIsLost) {
+TEST_F(FrontTest, NonRepeatableRequestRunsOnceWhenEndpointDoesNotAnswer) {
   a_.habits().silent = true;
   b_.habits().silent = true;
   Caller* caller = RunOne(SampleRequest("fee", "id-1"));
@@ -263,7 +270,7 @@
   EXPECT_EQ(a_.Runs("id-1") + b_.Runs("id-1"), 1);
 }
 
-TEST_F(FrontTest, ASafeRequestGoesToAnotherEndpointWhenOneIsSilent) {
+TEST_F(FrontTest, SafeRequestIsSentToAnotherEndpointWhenOneDoesNotAnswer) {
   a_.habits().silent = true;
   std::vector<Caller*> all;
   Run([&] {
@@ -283,7 +290,7 @@
   EXPECT_FALSE(a_.ran().empty());
 }
 
-TEST_F(FrontTest, ARefusalIsPassedOnAsNotRun) {
+TEST_F(FrontTest, RefusalByAllEndpointsIsAnsweredWithRetryAfter) {
   a_.habits().refuse = true;
   b_.habits().refuse = true;
   Caller* caller = RunOne(SampleRequest("fee", "id-1"));
@@ -292,7 +299,7 @@
   EXPECT_TRUE(a_.ran().empty() && b_.ran().empty());
 }
 
-TEST_F(FrontTest, AnAnswerWithoutSignatureIsNotPassedOn) {
+TEST_F(FrontTest, UnsignedAnswerIsNotForwarded) {
   a_.habits().unsigned_answer = true;
   b_.habits().unsigned_answer = true;
   Caller* caller = RunOne(SampleRequest("fee", "id-1"));
@@ -300,7 +307,7 @@
   EXPECT_EQ(a_.Runs("id-1") + b_.Runs("id-1"), 1);
 }
 
-TEST_F(FrontTest, AResumableStreamGoesOnAtAnotherEndpoint) {
+TEST_F(FrontTest, ResumableStreamContinuesOnAnotherEndpoint) {
   UseAsEngines();
   for (StandInEndpoint* it : {&a_, &b_}) {
     it->habits().break_after = 2;
@@ -320,7 +327,7 @@
             "id: 4\ndata: x\n\nid: 5\ndata: x\n\n");
 }
 
-TEST_F(FrontTest, AStreamThatMayNotBeResumedDoesNotLookWhole) {
+TEST_F(FrontTest, BrokenStreamThatIsNotResumableIsLeftIncomplete) {
   UseAsEngines();
   for (StandInEndpoint* it : {&a_, &b_}) {
     it->habits().break_after = 2;
@@ -330,7 +337,7 @@
   EXPECT_EQ(a_.Runs("id-1") + b_.Runs("id-1"), 1);
 }
 
-TEST_F(FrontTest, WorkEndsSoonAfterTheCallerHasLeft) {
+TEST_F(FrontTest, EndpointCallIsCancelledWhenCallerDisconnects) {
   UseAsEngines();
   for (StandInEndpoint* it : {&a_, &b_}) {
     it->habits().events = 100000;
@@ -347,7 +354,7 @@
   EXPECT_EQ(a_.abandoned() + b_.abandoned(), 1);
 }
 
-TEST_F(FrontTest, ALeavingEndpointGetsNothingNew) {
+TEST_F(FrontTest, DrainingEndpointGetsNoNewRequests) {
   PutEndpoint(a_, "app", 2, true);
   std::vector<Caller*> all;
   Run([&] {
@@ -365,8 +372,9 @@
   EXPECT_EQ(b_.ran().size(), 10U);
 }
 
-TEST_F(FrontTest, AnAddressUsedAgainRunsNothingOfItsOldService) {
-  // The directory still names "a" at the address where "b" listens now.
+TEST_F(FrontTest, ReusedAddressRunsNoRequestOfItsFormerEndpoint) {
+  // The directory still has an entry for "a" with the address on which "b" now
+  // listens.
   json stale = json::parse(b_.Entry("app", 5, false));
   store_.Put(platform::kEndpointTopic, "a", stale.dump());
   store_.Put(platform::kEndpointTopic, "b", "");
@@ -375,7 +383,7 @@
   EXPECT_TRUE(b_.ran().empty());
 }
 
-TEST_F(FrontTest, ForgedEntriesNameNoEndpoint) {
+TEST_F(FrontTest, InvalidDirectoryEntriesAreIgnored) {
   store_.Put(platform::kEndpointTopic, "c", "{\"service\":\"app\"}");
   store_.Put(platform::kEndpointTopic, "d", "\xff\x01");
   store_.Put(platform::kEndpointTopic, "e",
@@ -384,14 +392,14 @@
   EXPECT_EQ(caller->status(), 200);
 }
 
-TEST_F(FrontTest, ServesOnWhileTheStoreIsDownAndAfterItForgot) {
+TEST_F(FrontTest, ServesWhileStoreIsDownAndAfterCompaction) {
   UseAsEngines();
   Caller* during = nullptr;
   Caller* after = nullptr;
   Run([&] {
     Caller* before = Send(SampleRequest("report", "id-0"));
     AwaitOver(before, [&] {
-      // The next record locks a share for requests like this one.
+      // The next claim locks a share that covers requests like this one.
       Await([&] { return LockedShare() > 0; },
             [&] {
               store_.faults().silent = true;
@@ -412,62 +420,63 @@
   EXPECT_EQ(after->status(), 200);
 }
 
-TEST_F(FrontTest, SendsCallersElsewhereWhileItCannotDrawShares) {
+TEST_F(FrontTest, DivertsCallersWhileSharesCannotBeClaimed) {
   UseAsEngines();
   Caller* refused = nullptr;
   Caller* probe = nullptr;
-  const auto ready = [&](int status, const std::function<void()>& then) {
-    // The platform asks again and again.
-    auto ask = std::make_shared<std::function<void()>>();
-    *ask = [&, status, then, ask] {
+  const auto await_readiness = [&](int status,
+                                   const std::function<void()>& then) {
+    // The platform polls the health address repeatedly.
+    auto poll = std::make_shared<std::function<void()>>();
+    *poll = [&, status, then, poll] {
       probe = SendTo(settings_.health_address, ReadinessRequest());
-      AwaitOver(probe, [&, status, then, ask] {
+      AwaitOver(probe, [&, status, then, poll] {
         if (probe->status() == status) {
           then();
         } else {
-          loop_.After(Millis(50), *ask);
+          loop_.After(Millis(50), *poll);
         }
       });
     };
-    (*ask)();
+    (*poll)();
   };
   // Larger than any share that is held without demand.
   const std::string large = absl::StrReplaceAll(SampleRequest("report", "id-1"),
                                                 {{"1000,100", "30000,100"}});
-  std::function<void()> insist = [&] {
+  std::function<void()> send_again = [&] {
     refused = Send(large);
     AwaitOver(refused, [&] {
       if (refused->answer().fields().Find("Connection") != "close") {
-        loop_.After(Millis(50), insist);
+        loop_.After(Millis(50), send_again);
         return;
       }
-      ready(503, [&] {
+      await_readiness(503, [&] {
         store_.faults().silent = false;
-        ready(200, [] { Stop(); });
+        await_readiness(200, [] { Stop(); });
       });
     });
   };
   Run([&] {
     store_.faults().silent = true;
-    insist();
+    send_again();
   });
   EXPECT_EQ(refused->status(), 503);
   EXPECT_TRUE(a_.ran().empty() && b_.ran().empty());
 }
 
-TEST_F(FrontTest, DrawsSharesThroughALinkThatDelaysEachAnswer) {
+TEST_F(FrontTest, ClaimsSharesWhenStoreAnswersAreDelayed) {
   UseAsEngines();
   Caller* caller = nullptr;
   // Larger than any share that is held without demand.
   const std::string large = absl::StrReplaceAll(SampleRequest("report", "id-1"),
                                                 {{"1000,100", "30000,100"}});
-  std::function<void()> insist = [&] {
+  std::function<void()> send_again = [&] {
     caller = Send(large);
     AwaitOver(caller, [&] {
       if (caller->status() == 200) {
         Stop();
       } else {
-        loop_.After(Millis(100), insist);
+        loop_.After(Millis(100), send_again);
       }
     });
   };
@@ -475,14 +484,14 @@
     store_.faults().delay = Millis(1500);
     loop_.After(Millis(12000), [&] { store_.faults().delay = Millis(0); });
     WhenReady([&] {
-      began_ = loop_.Now();
-      insist();
+      started_at_ = loop_.Now();
+      send_again();
     });
   });
-  EXPECT_LT(loop_.Now() - began_, Millis(10000));
+  EXPECT_LT(loop_.Now() - started_at_, Millis(10000));
 }
 
-TEST_F(FrontTest, ALostAnswerOfTheStoreClaimsNothingTwice) {
+TEST_F(FrontTest, LostAppendAnswerDoesNotClaimTwice) {
   UseAsEngines();
   Caller* caller = nullptr;
   Run([&] {
@@ -507,7 +516,7 @@
   EXPECT_EQ(claim->claimed, claim->spent);
 }
 
-TEST_F(FrontTest, AGracefulStopCutsNothing) {
+TEST_F(FrontTest, GracefulStopCompletesOpenStream) {
   UseAsEngines();
   for (StandInEndpoint* it : {&a_, &b_}) {
     it->habits().events = 50;
@@ -522,29 +531,30 @@
   EXPECT_EQ(caller->answer().fields().Find("X-Request-Id"), "id-1");
 }
 
-TEST_F(FrontTest, AStopGivesBackSharesWhileStreamsStillRun) {
+TEST_F(FrontTest, StopReturnsUnusedTokensWhileStreamsRun) {
   UseAsEngines();
-  settings_.grace = Millis(1500);
+  settings_.grace_period = Millis(1500);
   for (StandInEndpoint* it : {&a_, &b_}) {
-    // Longer than the grace time.
+    // The stream takes about 1.1 s, longer than the 0.9 s that remain of the
+    // grace period before the reserve for the exit.
     it->habits().events = 110;
     it->habits().event_pause = Millis(10);
   }
   Caller* caller = nullptr;
-  int64_t held = 0;
+  int64_t claimed_before = 0;
   Run([&] {
     caller = Send(SampleRequest("report", "id-1"));
     Await([&] { return caller->status() == 200; },
           [&] {
-            held = ClaimedShare();
+            claimed_before = ClaimedShare();
             Stop();
           });
   });
-  EXPECT_GT(held, 1100);
+  EXPECT_GT(claimed_before, 1100);
   EXPECT_EQ(ClaimedShare(), 1100);
 }
 
-TEST_F(FrontTest, NoConfigurationMeansNotReadyAndNotRun) {
+TEST_F(FrontTest, RequestWithoutConfigurationIsRefused) {
   StandInStore empty(&loop_);
   settings_.store_address = empty.address();
   platform::Front front("no-settings-file", settings_);
