--- a/src/transport/clock.h
+++ b/src/transport/clock.h
@@ -5,10 +5,12 @@
 
 namespace tamaracktrail {
 
-//! Time since boot, suspension included; for durations. Thread-safe.
+//! Time since boot, including time suspended; for measuring durations.
+//! Thread-safe.
 Millis MonotonicNow();
 
-//! Wall clock since the Unix epoch; for records that people read. Thread-safe.
+//! Wall-clock time since the Unix epoch; for time stamps that people read.
+//! Thread-safe.
 Millis WallNow();
 
 }  // namespace tamaracktrail
--- a/src/transport/signal_pipe.cpp
+++ b/src/transport/signal_pipe.cpp
@@ -15,13 +15,14 @@
 
 namespace {
 
-//! The write end, for the handler, which may only use async-safe calls.
+//! Write end of the pipe, for the signal handler, which may only make
+//! async-signal-safe calls.
 volatile int write_fd = -1;
 
 void OnSignal(int signal) {
   const int saved = errno;
   const auto byte = static_cast<unsigned char>(signal);
-  // A full pipe holds signals enough.
+  // If the pipe is full, it already holds enough unhandled signals.
   [[maybe_unused]] const ssize_t n = write(write_fd, &byte, 1);
   errno = saved;
 }
--- a/src/transport/signal_pipe.h
+++ b/src/transport/signal_pipe.h
@@ -9,13 +9,13 @@
 
 class EventLoop;
 
-//! Turns SIGTERM, SIGINT and SIGHUP into calls on the loop's thread. One at a
-//! time in a process.
+//! Turns SIGTERM, SIGINT and SIGHUP into callbacks on the loop's thread. At
+//! most one may exist in a process at a time.
 class SignalPipe : private IoHandler {
  public:
   using Callback = std::function<void(int signal)>;
 
-  //! Installs the handlers. Precondition: the loop outlives this.
+  //! Installs the signal handlers. Precondition: the loop outlives this object.
   SignalPipe(EventLoop* loop, Callback callback);
   ~SignalPipe() override;
 
--- a/src/transport/socket_address.cpp
+++ b/src/transport/socket_address.cpp
@@ -15,10 +15,10 @@
 namespace {
 
 //! Connections that may wait for accept(). A burst of new callers must not
-//! overflow the queue, since a dropped opening packet is resent after seconds.
+//! overflow the queue, since a dropped SYN is retransmitted only after seconds.
 constexpr int kListenBacklog = 1024;
 
-absl::StatusOr<int> BoundSocket(const std::string& address, int type) {
+absl::StatusOr<int> OpenBoundSocket(const std::string& address, int type) {
   const absl::StatusOr<sockaddr_in> parsed = ParseSocketAddress(address);
   if (!parsed.ok()) {
     return parsed.status();
@@ -58,7 +58,7 @@
 }
 
 absl::StatusOr<int> ListenTcp(const std::string& address) {
-  absl::StatusOr<int> fd = BoundSocket(address, SOCK_STREAM);
+  absl::StatusOr<int> fd = OpenBoundSocket(address, SOCK_STREAM);
   if (fd.ok() && listen(*fd, kListenBacklog) != 0) {
     const int ec = errno;
     close(*fd);
@@ -68,7 +68,7 @@
 }
 
 absl::StatusOr<int> BindUdp(const std::string& address) {
-  return BoundSocket(address, SOCK_DGRAM);
+  return OpenBoundSocket(address, SOCK_DGRAM);
 }
 
 }  // namespace tamaracktrail
--- a/src/transport/socket_address.h
+++ b/src/transport/socket_address.h
@@ -9,14 +9,15 @@
 
 namespace tamaracktrail {
 
-//! Reads "ip:port" with a numeric IPv4 address. Thread-safe.
+//! Parses "ip:port" with a numeric IPv4 address. Thread-safe.
 absl::StatusOr<sockaddr_in> ParseSocketAddress(const std::string& text);
 
-//! A listening, non-blocking TCP socket. Errors: the address cannot be read or
-//! bound. The caller owns the descriptor. Thread-safe.
+//! Opens a listening, non-blocking TCP socket. Errors: the address cannot be
+//! parsed or bound. The caller owns the descriptor. Thread-safe.
 absl::StatusOr<int> ListenTcp(const std::string& address);
 
-//! A bound, non-blocking UDP socket. Errors and ownership as above.
+//! Opens a bound, non-blocking UDP socket. Errors: the address cannot be parsed
+//! or bound. The caller owns the descriptor. Thread-safe.
 absl::StatusOr<int> BindUdp(const std::string& address);
 
 }  // namespace tamaracktrail
--- a/src/transport/tcp_stream.cpp
+++ b/src/transport/tcp_stream.cpp
@@ -17,12 +17,12 @@
 
 namespace {
 
-//! One read; large bodies take several.
+//! Most bytes of one `Read`; large bodies take several.
 constexpr size_t kReadBytes = 64 * 1024;
 
-//! Idle buffers above this are given back, since memory is short on small
-//! instances and a connection is idle most of the time.
-constexpr size_t kKeptBufferBytes = 16 * 1024;
+//! An empty output buffer above this size is freed, since memory is scarce on
+//! small instances and a connection is idle most of the time.
+constexpr size_t kMaxIdleBufferBytes = 16 * 1024;
 
 }  // namespace
 
@@ -37,7 +37,7 @@
 absl::StatusOr<std::unique_ptr<TcpStream>> TcpStream::Connect(
     EventLoop* loop,
     const std::string& address,
-    Millis unacknowledged,
+    Millis ack_timeout,
     Observer* observer) {
   const absl::StatusOr<sockaddr_in> parsed = ParseSocketAddress(address);
   if (!parsed.ok()) {
@@ -48,7 +48,7 @@
     return absl::ErrnoToStatus(errno, "socket");
   }
   const int on = 1;
-  const auto timeout = static_cast<unsigned>(unacknowledged.count());
+  const auto timeout = static_cast<unsigned>(ack_timeout.count());
   setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
   setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout, sizeof(timeout));
   if (connect(fd, reinterpret_cast<const sockaddr*>(&*parsed),
@@ -66,8 +66,8 @@
                      bool connected,
                      Observer* observer)
     : loop_(loop), fd_(fd), connected_(connected), observer_(observer) {
-  events_ = connected_ ? EPOLLIN : EPOLLOUT;
-  loop_->Watch(fd_, events_, this);
+  watched_events_ = connected_ ? EPOLLIN : EPOLLOUT;
+  loop_->Watch(fd_, watched_events_, this);
 }
 
 TcpStream::~TcpStream() {
@@ -95,13 +95,13 @@
 }
 
 void TcpStream::Write(std::string_view bytes) {
-  out_.append(bytes);
+  output_.append(bytes);
 }
 
 void TcpStream::Flush() {
-  if (fd_ >= 0 && connected_ && !blocked_ && pending() > 0) {
-    // The kernel reports a failed send as an event too: the observer hears of
-    // it from the loop and not from inside its own call.
+  if (fd_ >= 0 && connected_ && !write_blocked_ && pending() > 0) {
+    // A failed send is ignored here: the kernel reports it as an event too, so
+    // that the observer is notified by the loop and not within its own call.
     SendPending();
     UpdateEvents();
   }
@@ -109,30 +109,30 @@
 
 bool TcpStream::SendPending() {
   while (pending() > 0) {
-    const ssize_t n =
-        send(fd_, out_.data() + sent_, out_.size() - sent_, MSG_NOSIGNAL);
+    const ssize_t n = send(fd_, output_.data() + output_sent_,
+                           output_.size() - output_sent_, MSG_NOSIGNAL);
     if (n < 0) {
-      blocked_ = errno == EAGAIN;
+      write_blocked_ = errno == EAGAIN;
       return errno == EAGAIN || errno == EINTR;
     }
-    sent_ += static_cast<size_t>(n);
+    output_sent_ += static_cast<size_t>(n);
     bytes_sent_ += static_cast<uint64_t>(n);
     if (pending() > 0) {
-      blocked_ = true;
+      write_blocked_ = true;
       return true;
     }
   }
-  out_.clear();
-  sent_ = 0;
-  if (out_.capacity() > kKeptBufferBytes) {
-    out_.shrink_to_fit();
+  output_.clear();
+  output_sent_ = 0;
+  if (output_.capacity() > kMaxIdleBufferBytes) {
+    output_.shrink_to_fit();
   }
-  blocked_ = false;
+  write_blocked_ = false;
   return true;
 }
 
 void TcpStream::PauseReading(bool pause) {
-  paused_ = pause;
+  reading_paused_ = pause;
   UpdateEvents();
 }
 
@@ -153,12 +153,13 @@
   if (fd_ < 0) {
     return;
   }
-  const uint32_t wanted = connected_ ? ((paused_ ? 0U : uint32_t{EPOLLIN}) |
-                                        (blocked_ ? uint32_t{EPOLLOUT} : 0U))
-                                     : uint32_t{EPOLLOUT};
-  if (wanted != events_) {
-    events_ = wanted;
-    loop_->Rewatch(fd_, events_);
+  const uint32_t wanted = connected_
+                              ? ((reading_paused_ ? 0U : uint32_t{EPOLLIN}) |
+                                 (write_blocked_ ? uint32_t{EPOLLOUT} : 0U))
+                              : uint32_t{EPOLLOUT};
+  if (wanted != watched_events_) {
+    watched_events_ = wanted;
+    loop_->Rewatch(fd_, watched_events_);
   }
 }
 
@@ -184,19 +185,19 @@
     return;
   }
   if ((events & EPOLLOUT) != 0) {
-    blocked_ = false;
+    write_blocked_ = false;
     if (!SendPending()) {
       Fail(EPIPE);
       return;
     }
     UpdateEvents();
     if (pending() == 0) {
-      // Readiness to read is level-triggered and comes again.
+      // Read readiness is level-triggered and is reported again.
       observer_->OnDrained();
       return;
     }
   }
-  if (paused_ && (events & (EPOLLHUP | EPOLLERR)) != 0) {
+  if (reading_paused_ && (events & (EPOLLHUP | EPOLLERR)) != 0) {
     Fail(ECONNRESET);
     return;
   }
--- a/src/transport/tcp_stream.h
+++ b/src/transport/tcp_stream.h
@@ -18,41 +18,43 @@
 
 //! A non-blocking TCP connection that owns its descriptor and buffers output.
 //!
-//! Not thread-safe. The observer may destroy the stream in any of its calls.
+//! Not thread-safe. The observer may destroy the stream in any of its
+//! callbacks.
 class TcpStream : public IoHandler {
  public:
   class Observer {
    public:
     virtual ~Observer() = default;
 
-    //! The connection of `Connect` is established.
+    //! The connection started by `Connect` is established.
     virtual void OnConnected() {}
 
-    //! Bytes, or the end of the stream, can be read.
+    //! Bytes or the end of the stream can be read.
     virtual void OnReadable() = 0;
 
     //! All buffered output has been handed to the kernel.
     virtual void OnDrained() {}
 
-    //! The connection failed; nothing more follows.
+    //! The connection failed; no further callbacks follow.
     virtual void OnFailed(const absl::Status& status) = 0;
   };
 
-  //! What one read found.
+  //! Result of one `Read`.
   enum class ReadResult { kData, kNothing, kEnd, kFailed };
 
-  //! Takes over an accepted descriptor.
+  //! Takes ownership of an accepted descriptor.
   static std::unique_ptr<TcpStream> Adopt(EventLoop* loop,
                                           int fd,
                                           Observer* observer);
 
-  //! Starts a connection to the IPv4 `address` ("ip:port"). Errors: the address
-  //! cannot be read, or no descriptor is left. `unacknowledged` bounds how long
-  //! sent bytes may stay without an answer from the peer's kernel.
+  //! Starts connecting to the IPv4 `address` ("ip:port"). Errors: the address
+  //! cannot be parsed, no descriptor is available, or connect() fails at once.
+  //! `ack_timeout` is the longest time that sent bytes may stay unacknowledged
+  //! by the peer's kernel (TCP_USER_TIMEOUT).
   static absl::StatusOr<std::unique_ptr<TcpStream>> Connect(
       EventLoop* loop,
       const std::string& address,
-      Millis unacknowledged,
+      Millis ack_timeout,
       Observer* observer);
 
   ~TcpStream() override;
@@ -60,29 +62,31 @@
   TcpStream(const TcpStream&) = delete;
   TcpStream& operator=(const TcpStream&) = delete;
 
-  //! Another owner takes the stream over. Precondition: not null.
+  //! Hands the stream over to another observer. Precondition: not null.
   void SetObserver(Observer* observer) { observer_ = observer; }
 
-  //! Appends what can be read to `buf`, at most `limit` bytes.
+  //! Appends the bytes that are available to `buf`, at most `limit`.
   ReadResult Read(std::string* buf, size_t limit);
 
   //! Buffers bytes; `Flush` sends them.
   void Write(std::string_view bytes);
 
-  //! Sends buffered bytes as far as the peer takes them.
+  //! Hands buffered bytes to the kernel until its send buffer is full.
   void Flush();
 
-  //! Stops or goes on reading, for back-pressure.
+  //! Pauses or resumes reading, for back-pressure.
   void PauseReading(bool pause);
 
-  //! Sends the end of the stream. Precondition: nothing is pending.
+  //! Closes the sending side (FIN). Precondition: nothing is pending.
   void ShutDownWriting();
 
-  //! Closes with a reset, so that the peer cannot take what it has for whole.
+  //! Makes the close send a reset, so that the peer cannot mistake the bytes it
+  //! received for a complete message.
   void Abort();
 
-  size_t pending() const { return out_.size() - sent_; }
-  //! Bytes handed to the kernel since the start.
+  //! Buffered bytes that are not yet handed to the kernel.
+  size_t pending() const { return output_.size() - output_sent_; }
+  //! Bytes handed to the kernel since the stream was created.
   uint64_t bytes_sent() const { return bytes_sent_; }
   bool connected() const { return connected_; }
 
@@ -98,12 +102,12 @@
   EventLoop* loop_;
   int fd_;
   bool connected_;
-  bool paused_ = false;
-  bool blocked_ = false;
-  uint32_t events_ = 0;
+  bool reading_paused_ = false;
+  bool write_blocked_ = false;
+  uint32_t watched_events_ = 0;
   uint64_t bytes_sent_ = 0;
-  std::string out_;
-  size_t sent_ = 0;
+  std::string output_;
+  size_t output_sent_ = 0;
   Observer* observer_;
 };
 
