--- a/src/transport/coordination_task.cpp
+++ b/src/transport/coordination_task.cpp
@@ -15,11 +15,12 @@
 
 constexpr Millis kTick{50};
 constexpr Millis kListPeriod{2000};
-constexpr Millis kReadRetry{300};
+constexpr Millis kReadRetryDelay{300};
 constexpr Millis kMetricsPeriod{1000};
 constexpr size_t kReadEntries = 200;
-//! A writer that sleeps for longer loses its hash chain.
-constexpr Millis kLongestPause = kHour * 12;
+//! The process ends after a longer gap between ticks: a writer without a batch
+//! for 24 h (WriterChains::kWriterWindow) loses its hash chain.
+constexpr Millis kMaxTickGap = kHour * 12;
 
 }  // namespace
 
@@ -40,7 +41,7 @@
 absl::Status CoordinationTask::Start() {
   task_.Start();
   absl::Status status;
-  task_.Run([&] {
+  task_.PostAndWait([&] {
     coordinator_->SetSeeds(options_.peers);
     http_ = std::make_unique<HttpClient>();
     log_ = std::make_unique<HttpLogService>(http_.get(), options_.log_url);
@@ -63,11 +64,11 @@
       return;
     }
     last_tick_ = MonotonicNow();
-    task_.Every(kTick, [this] { Tick(); });
-    task_.Every(kMetricsPeriod, [this] { PublishMetrics(MonotonicNow()); });
+    task_.RunEvery(kTick, [this] { Tick(); });
+    task_.RunEvery(kMetricsPeriod, [this] { PublishMetrics(MonotonicNow()); });
     if (!options_.list_url.empty()) {
       FetchList();
-      task_.Every(kListPeriod, [this] { FetchList(); });
+      task_.RunEvery(kListPeriod, [this] { FetchList(); });
     }
   });
   if (!status.ok()) {
@@ -77,7 +78,7 @@
 }
 
 void CoordinationTask::Stop() {
-  task_.Run([this] {
+  task_.PostAndWait([this] {
     mesh_.reset();
     http_.reset();
   });
@@ -85,25 +86,25 @@
 }
 
 bool CoordinationTask::DrainAndLeave(Millis deadline) {
-  constexpr auto kPoll = std::chrono::milliseconds(20);
-  task_.Run([this] { coordinator_->Drain(); });
-  bool left = false;
+  constexpr auto kPollInterval = std::chrono::milliseconds(20);
+  task_.PostAndWait([this] { coordinator_->Drain(); });
+  bool exit_queued = false;
   bool drained = false;
   while (MonotonicNow() < deadline) {
-    std::this_thread::sleep_for(kPoll);
-    task_.Run([&] { drained = coordinator_->Drained(); });
-    if (drained && left) {
+    std::this_thread::sleep_for(kPollInterval);
+    task_.PostAndWait([&] { drained = coordinator_->Drained(); });
+    if (drained && exit_queued) {
       return true;
     }
     if (drained) {
-      left = true;
-      task_.Run([this] { coordinator_->Leave(); });
+      exit_queued = true;
+      task_.PostAndWait([this] { coordinator_->Leave(); });
     }
   }
   return false;
 }
 
-void CoordinationTask::Do(std::function<void(Millis)> action) {
+void CoordinationTask::PostAndFlush(std::function<void(Millis)> action) {
   task_.Post([this, action = std::move(action)] {
     const Millis now = MonotonicNow();
     action(now);
@@ -112,42 +113,47 @@
 }
 
 void CoordinationTask::Reserve(const ReserveRequest& request) {
-  Do([=, this](Millis now) { coordinator_->Reserve(now, WallNow(), request); });
+  PostAndFlush([=, this](Millis now) {
+    coordinator_->Reserve(now, WallNow(), request);
+  });
 }
 
 void CoordinationTask::EndReservation(const ReservationEnd& end) {
-  Do([=, this](Millis now) { coordinator_->EndReservation(now, end); });
+  PostAndFlush(
+      [=, this](Millis now) { coordinator_->EndReservation(now, end); });
 }
 
 void CoordinationTask::Settle(const SettleRequest& request) {
-  Do([=, this](Millis now) { coordinator_->Settle(now, request); });
+  PostAndFlush([=, this](Millis now) { coordinator_->Settle(now, request); });
 }
 
 void CoordinationTask::Withdraw(const Charge& charge) {
-  Do([=, this](Millis now) { coordinator_->Withdraw(now, charge); });
+  PostAndFlush([=, this](Millis now) { coordinator_->Withdraw(now, charge); });
 }
 
-void CoordinationTask::Note(const std::string& organisation,
-                            const Record& record) {
-  Do([=, this](Millis) { coordinator_->Note(organisation, record); });
+void CoordinationTask::AppendRecord(const std::string& organisation,
+                                    const Record& record) {
+  PostAndFlush([=, this](Millis) { coordinator_->Note(organisation, record); });
 }
 
 void CoordinationTask::CheckContent(uint64_t attempt,
                                     const std::string& content) {
-  Do([=, this](Millis now) {
+  PostAndFlush([=, this](Millis now) {
     coordinator_->CheckContent(now, attempt, content);
   });
 }
 
 void CoordinationTask::ReportCrash(uint64_t attempt, const Crash& crash) {
-  Do([=, this](Millis now) { coordinator_->ReportCrash(now, attempt, crash); });
+  PostAndFlush([=, this](Millis now) {
+    coordinator_->ReportCrash(now, attempt, crash);
+  });
 }
 
 void CoordinationTask::ReportContentEnd(uint64_t attempt,
                                         const std::string& content,
-                                        bool well) {
-  Do([=, this](Millis) {
-    coordinator_->ReportContentEnd(attempt, content, well);
+                                        bool succeeded) {
+  PostAndFlush([=, this](Millis) {
+    coordinator_->ReportContentEnd(attempt, content, succeeded);
   });
 }
 
@@ -155,7 +161,7 @@
     std::vector<EndpointNews> news,
     std::vector<Placer::EndpointState> states,
     std::map<std::string, int> demand) {
-  Do([=, this](Millis) {
+  PostAndFlush([=, this](Millis) {
     coordinator_->ReportEndpoints(news, states, demand);
   });
 }
@@ -172,36 +178,37 @@
     return;  // Stopped.
   }
   const Millis now = MonotonicNow();
-  CHECK(now - last_tick_ < kLongestPause) << "paused for too long to go on";
+  CHECK(now - last_tick_ < kMaxTickGap) << "paused for too long to go on";
   last_tick_ = now;
-  mesh_->Reap();
+  mesh_->FreeClosed();
   coordinator_->OnTick(now, WallNow());
   for (const auto& [address, incarnation] : coordinator_->Silent(now)) {
-    mesh_->Check(now, InstanceId{address, incarnation});
+    mesh_->CheckReachable(now, InstanceId{address, incarnation});
   }
   for (const auto& [address, peer] : coordinator_->membership().peers()) {
     if (peer.incarnation != 0) {
-      mesh_->Check(now, InstanceId{address, peer.incarnation});
+      mesh_->CheckReachable(now, InstanceId{address, peer.incarnation});
     }
   }
   Flush(now);
   StartReads(now);
 }
 
-const InstanceId* CoordinationTask::Locate(uint64_t incarnation) {
+const InstanceId* CoordinationTask::FindInstance(uint64_t incarnation) {
   const Membership::Peer* peer =
       coordinator_->membership().ByIncarnation(incarnation);
   if (peer != nullptr) {
-    located_[incarnation] = InstanceId{peer->address, incarnation};
-  } else if (!located_.contains(incarnation)) {
+    known_instances_[incarnation] = InstanceId{peer->address, incarnation};
+  } else if (!known_instances_.contains(incarnation)) {
     const auto& members = coordinator_->control().members();
     auto it = members.find(incarnation);
     if (it != members.end()) {
-      located_[incarnation] = InstanceId{it->second.address, incarnation};
+      known_instances_[incarnation] =
+          InstanceId{it->second.address, incarnation};
     }
   }
-  auto it = located_.find(incarnation);
-  return it == located_.end() ? nullptr : &it->second;
+  auto it = known_instances_.find(incarnation);
+  return it == known_instances_.end() ? nullptr : &it->second;
 }
 
 void CoordinationTask::Flush(Millis now) {
@@ -210,10 +217,10 @@
   }
   for (const uint64_t it : coordinator_->TakeExited()) {
     mesh_->Drop(it);
-    located_.erase(it);
+    known_instances_.erase(it);
   }
   for (const Outbox::Letter& it : coordinator_->TakeLetters()) {
-    const InstanceId* to = Locate(it.to);
+    const InstanceId* to = FindInstance(it.to);
     if (to != nullptr) {
       mesh_->Send(*to, it.message);
     }
@@ -239,21 +246,21 @@
 
 void CoordinationTask::StartReads(Millis now) {
   for (const auto& [stream, from] : coordinator_->Reads(now)) {
-    if (!reading_.contains(stream) && now >= read_again_[stream]) {
+    if (!streams_being_read_.contains(stream) && now >= next_read_at_[stream]) {
       Read(stream, from);
     }
   }
 }
 
 void CoordinationTask::Read(const std::string& stream, uint64_t from) {
-  reading_.insert(stream);
+  streams_being_read_.insert(stream);
   log_->Read(stream, from, kReadEntries, options_.read_wait,
              [this, stream](absl::StatusOr<LogPage> page) {
                const Millis now = MonotonicNow();
-               reading_.erase(stream);
+               streams_being_read_.erase(stream);
                if (!page.ok() || mesh_ == nullptr) {
                  ++read_failures_;
-                 read_again_[stream] = now + kReadRetry;
+                 next_read_at_[stream] = now + kReadRetryDelay;
                  return;
                }
                const bool at_end = page->entries.empty() ||
--- a/src/transport/coordination_task.h
+++ b/src/transport/coordination_task.h
@@ -24,15 +24,15 @@
 class Metrics;
 
 //! Drives the coordinator: owns the peer sockets and the clients of the
-//! platform's log and list. Other tasks reach it by the methods marked
-//! thread-safe, which post messages.
+//! platform's log and instance list. Other tasks use the methods marked
+//! thread-safe, which post callbacks.
 class CoordinationTask {
  public:
   struct Options {
     InstanceId self;
     std::string key;  //!< The fleet's shared key.
     std::string log_url;
-    std::string list_url;  //!< Empty where the settings name the peers.
+    std::string list_url;  //!< Empty if the settings list the peers.
     std::vector<std::string> peers;
     Coordinator::Options coordinator;
     Millis read_wait{8000};  //!< Longest wait of a read for new entries.
@@ -51,24 +51,26 @@
   //! Binds the peer address and starts.
   absl::Status Start();
 
-  //! Stops at once. Call it after DrainAndLeave, or give up what that does.
+  //! Stops immediately. Without a prior DrainAndLeave no shares are returned
+  //! and no exit record is appended.
   void Stop();
 
-  //! Returns shares, settles, appends what is left and the exit record. False
-  //! where that was not done by `deadline`. Call from another thread.
+  //! Returns shares, settles charges and appends pending records and the exit
+  //! record. False if that did not complete by `deadline`. Call from another
+  //! thread.
   bool DrainAndLeave(Millis deadline);
 
-  // Thread-safe requests of the entry.
+  // Requests of the entry. Thread-safe.
   void Reserve(const ReserveRequest& request);
   void EndReservation(const ReservationEnd& end);
   void Settle(const SettleRequest& request);
   void Withdraw(const Charge& charge);
-  void Note(const std::string& organisation, const Record& record);
+  void AppendRecord(const std::string& organisation, const Record& record);
   void CheckContent(uint64_t attempt, const std::string& content);
   void ReportCrash(uint64_t attempt, const Crash& crash);
   void ReportContentEnd(uint64_t attempt,
                         const std::string& content,
-                        bool well);
+                        bool succeeded);
   void ReportEndpoints(std::vector<EndpointNews> news,
                        std::vector<Placer::EndpointState> states,
                        std::map<std::string, int> demand);
@@ -77,8 +79,9 @@
   void GetStatus(std::function<void(const CoordinatorStatus&)> done);
 
  private:
-  //! Runs `action` on the task, then does what it caused.
-  void Do(std::function<void(Millis now)> action);
+  //! Runs `action` on the task, then sends the messages, appends and notices
+  //! that it produced.
+  void PostAndFlush(std::function<void(Millis now)> action);
 
   void Tick();
   void Flush(Millis now);
@@ -86,7 +89,8 @@
   void Read(const std::string& stream, uint64_t from);
   void FetchList();
   void PublishMetrics(Millis now);
-  const InstanceId* Locate(uint64_t incarnation);
+  //! Address and incarnation of an instance; null if it was never known.
+  const InstanceId* FindInstance(uint64_t incarnation);
 
   Options options_;
   Metrics* metrics_;
@@ -99,9 +103,9 @@
   std::unique_ptr<HttpLogService> log_;
   std::unique_ptr<HttpInstanceList> list_;
   std::unique_ptr<PeerMesh> mesh_;
-  std::set<std::string> reading_;
-  std::map<std::string, Millis> read_again_;
-  std::map<uint64_t, InstanceId> located_;
+  std::set<std::string> streams_being_read_;
+  std::map<std::string, Millis> next_read_at_;
+  std::map<uint64_t, InstanceId> known_instances_;
   Millis last_tick_;
   uint64_t read_failures_ = 0;
 };
--- a/src/transport/endpoint_prober.cpp
+++ b/src/transport/endpoint_prober.cpp
@@ -35,12 +35,12 @@
 
 }  // namespace
 
-EndpointProber::EndpointProber(HttpClient* client, OnSeen on_seen)
-    : client_(client), on_seen_(std::move(on_seen)) {}
+EndpointProber::EndpointProber(HttpClient* client, OnObservation on_observation)
+    : client_(client), on_observation_(std::move(on_observation)) {}
 
 void EndpointProber::Probe(Millis now, const EndpointSpec& endpoint) {
-  auto it = probed_at_.find(endpoint.name);
-  if (it != probed_at_.end() && now < it->second + kPeriod) {
+  auto it = last_probe_at_.find(endpoint.name);
+  if (it != last_probe_at_.end() && now < it->second + kProbeInterval) {
     return;
   }
   ProbeNow(now, endpoint, nullptr);
@@ -48,8 +48,8 @@
 
 void EndpointProber::ProbeNow(Millis now,
                               const EndpointSpec& endpoint,
-                              OnSeen done) {
-  probed_at_[endpoint.name] = now;
+                              OnObservation done) {
+  last_probe_at_[endpoint.name] = now;
   HttpClient::Request request;
   request.url = "http://" + endpoint.address + "/health";
   request.timeout = kTimeout;
@@ -58,10 +58,10 @@
     if (absl::IsCancelled(reply.status())) {
       return;
     }
-    const EndpointObservation seen = Parse(name, now, reply);
-    on_seen_(seen);
+    const EndpointObservation observation = Parse(name, now, reply);
+    on_observation_(observation);
     if (done) {
-      done(seen);
+      done(observation);
     }
   });
 }
--- a/src/transport/endpoint_prober.h
+++ b/src/transport/endpoint_prober.h
@@ -13,27 +13,28 @@
 
 class HttpClient;
 
-//! Asks endpoints for their state. Belongs to the task of its client.
+//! Requests the health reports of endpoints. Belongs to the task of its client.
 class EndpointProber {
  public:
-  using OnSeen = std::function<void(const EndpointObservation&)>;
+  using OnObservation = std::function<void(const EndpointObservation&)>;
 
-  static constexpr Millis kPeriod{450};  //!< Between probes of one endpoint.
+  static constexpr Millis kProbeInterval{450};  //!< Per endpoint.
   static constexpr Millis kTimeout{1000};
 
   //! Precondition: `client` outlives the prober.
-  EndpointProber(HttpClient* client, OnSeen on_seen);
+  EndpointProber(HttpClient* client, OnObservation on_observation);
 
-  //! Probes the endpoint unless a probe is on its way or was sent lately.
+  //! Probes the endpoint unless a probe was sent within kProbeInterval.
   void Probe(Millis now, const EndpointSpec& endpoint);
 
-  //! Probes the endpoint at once and tells `done` as well.
-  void ProbeNow(Millis now, const EndpointSpec& endpoint, OnSeen done);
+  //! Probes the endpoint immediately; reports to `done` as well as to
+  //! `on_observation`.
+  void ProbeNow(Millis now, const EndpointSpec& endpoint, OnObservation done);
 
  private:
   HttpClient* client_;
-  OnSeen on_seen_;
-  std::map<std::string, Millis> probed_at_;
+  OnObservation on_observation_;
+  std::map<std::string, Millis> last_probe_at_;
 };
 
 }  // namespace tamaracktrail
--- a/src/transport/entry_calls.cpp
+++ b/src/transport/entry_calls.cpp
@@ -36,13 +36,13 @@
       metrics_(metrics),
       queue_(AdmissionQueue::Options{limits.queue_length,
                                      limits.queue_per_organisation}),
-      retries_(limits.retry_ratio, limits.retry_burst) {}
+      retry_budget_(limits.retry_ratio, limits.retry_burst) {}
 
 EntryCalls::~EntryCalls() = default;
 
-void EntryCalls::Connect(CoordinationTask* coordination,
-                         HttpClient* http,
-                         EndpointProber* prober) {
+void EntryCalls::SetDependencies(CoordinationTask* coordination,
+                                 HttpClient* http,
+                                 EndpointProber* prober) {
   coordination_ = coordination;
   http_ = http;
   prober_ = prober;
@@ -75,22 +75,22 @@
   std::unique_ptr<EntryCall>& call = calls_[attempt];
   call = std::move(admission.call);
   call->attempt = attempt;
-  call->since = now;
+  call->received_at = now;
   call->priority = admission.priority;
   call->caller =
       std::make_unique<CallerStream>(admission.message, HandlerFor(attempt));
   call->caller->SetHeader("Idempotency-Key", spec.key);
-  call->flow = std::make_unique<RequestFlow>(std::move(spec), &retries_);
+  call->flow = std::make_unique<RequestFlow>(std::move(spec), &retry_budget_);
   if (!queue_.Push(item)) {
     Perform(*call, call->flow->Refuse(ResultCode::kQueueFull));
     return;
   }
-  Pump(now);
+  StartQueued(now);
 }
 
 CallerStream::Handler EntryCalls::HandlerFor(uint64_t attempt) {
   CallerStream::Handler handler;
-  handler.on_gone = [this, attempt] {
+  handler.on_disconnected = [this, attempt] {
     if (EntryCall* it = Find(attempt)) {
       Perform(*it,
               it->flow->OnCallerGone(MonotonicNow(), ResultCode::kCallerGone));
@@ -117,7 +117,7 @@
   return attempt;
 }
 
-bool EntryCalls::HasRoom(Millis now, const std::string& service) const {
+bool EntryCalls::HasFreeSlot(Millis now, const std::string& service) const {
   int admitted = 0;
   for (const auto& [attempt, call] : calls_) {
     admitted += !call->queued && !call->flow->done() &&
@@ -129,9 +129,9 @@
   return endpoints_->Room(now, service) > admitted;
 }
 
-void EntryCalls::Pump(Millis now) {
+void EntryCalls::StartQueued(Millis now) {
   for (const std::string& service : queue_.Services()) {
-    while (HasRoom(now, service)) {
+    while (HasFreeSlot(now, service)) {
       const std::optional<AdmissionQueue::Item> item = queue_.Pop(now, service);
       if (!item.has_value()) {
         break;
@@ -151,7 +151,7 @@
   return it == calls_.end() ? nullptr : it->second.get();
 }
 
-// Actions of a request flow.
+// Actions of a request's flow.
 
 void EntryCalls::Perform(EntryCall& call, const RequestFlow::Actions& actions) {
   for (const FlowAction& it : actions) {
@@ -179,10 +179,11 @@
     Perform(call, call.flow->OnNoEndpoint(now));
     return;
   }
-  const size_t n = choice_.Pick(candidates, call.model.prefix, *random_);
+  const size_t n =
+      endpoint_choice_.Pick(candidates, call.model.prefix, *random_);
   const EndpointSpec endpoint = *endpoints_->Find(candidates[n].name);
-  call.busy_endpoint = endpoint.name;
-  call.busy_since = now;
+  call.in_flight_endpoint = endpoint.name;
+  call.dispatched_at = now;
   endpoints_->OnDispatch(now, endpoint.name);
   Perform(call, call.flow->OnDispatched(now, endpoint.name));
   call.upstream = std::make_unique<UpstreamCall>(
@@ -196,9 +197,9 @@
     Millis now,
     const EntryCall& call,
     const DispatchCall& action) {
-  for (const bool with_full : {false, true}) {
+  for (const bool include_full : {false, true}) {
     std::vector<EndpointCandidate> candidates =
-        endpoints_->Candidates(now, call.flow->spec().service, with_full);
+        endpoints_->Candidates(now, call.flow->spec().service, include_full);
     std::erase_if(candidates, [&](const EndpointCandidate& it) {
       return action.exclude.contains(it.name);
     });
@@ -238,7 +239,7 @@
 
 void EntryCalls::Act(EntryCall& call, const CancelCall&) {
   call.upstream.reset();
-  Release(MonotonicNow(), call, EndpointTable::Finish::kRefused);
+  ReleaseEndpoint(MonotonicNow(), call, EndpointTable::Finish::kRefused);
 }
 
 void EntryCalls::Act(EntryCall& call, const ConfirmCrash& action) {
@@ -273,7 +274,7 @@
   const Millis now = MonotonicNow();
   if (call.first_chunk_at == Millis()) {
     call.first_chunk_at = now;
-    const Millis wait = now - call.since;
+    const Millis wait = now - call.received_at;
     metrics_->Observe("tamaracktrail_first_token_ms",
                       static_cast<double>(wait.count()));
   }
@@ -286,7 +287,7 @@
     return;
   }
   call.caller->SendEvent(MonotonicNow(), data);
-  const bool full = call.caller->pending() > limits_.stream_buffer_bytes;
+  const bool full = call.caller->pending_bytes() > limits_.stream_buffer_bytes;
   if (full && call.upstream != nullptr) {
     call.upstream->SetPaused(true);
   }
@@ -302,20 +303,20 @@
 }
 
 void EntryCalls::Act(EntryCall& call, const NoteRecord& action) {
-  coordination_->Note(call.flow->spec().organisation, action.record);
+  coordination_->AppendRecord(call.flow->spec().organisation, action.record);
 }
 
 void EntryCalls::Act(EntryCall& call, const FinishRequest& action) {
   const FlowSpec& spec = call.flow->spec();
   const ResultInfo& info = InfoOf(action.code);
-  const Millis took = MonotonicNow() - call.since;
+  const Millis duration = MonotonicNow() - call.received_at;
   queue_.Remove(call.attempt);
   call.upstream.reset();
-  Release(MonotonicNow(), call, EndpointTable::Finish::kRefused);
+  ReleaseEndpoint(MonotonicNow(), call, EndpointTable::Finish::kRefused);
   metrics_->Count(
       absl::StrCat("tamaracktrail_requests_total{result=\"", info.name, "\"}"));
   metrics_->Observe("tamaracktrail_request_ms",
-                    static_cast<double>(took.count()));
+                    static_cast<double>(duration.count()));
   LOG(INFO) << "event=request organisation=" << spec.organisation
             << " key=" << spec.key << " service=" << spec.service
             << " code=" << static_cast<int>(action.code)
@@ -324,7 +325,7 @@
             << " endpoint=" << call.flow->endpoint()
             << " tries=" << call.flow->tries()
             << " tokens=" << (call.flow->done() ? call.charge.tokens : 0)
-            << " config=" << spec.config_version << " ms=" << took.count();
+            << " config=" << spec.config_version << " ms=" << duration.count();
   if (action.code == ResultCode::kOk) {
     call.settled = true;
     SendAnswer(call);
@@ -336,19 +337,19 @@
 
 void EntryCalls::SendAnswer(EntryCall& call) {
   if (!call.model_call) {
-    call.caller->SendWhole(
-        call.end.status,
+    call.caller->SendCompleteAnswer(
+        call.end_event.status,
         call.content_type.empty() ? "application/json" : call.content_type,
-        call.end.data);
+        call.end_event.data);
     return;
   }
   if (call.model.stream) {
-    call.caller->SendEvent(MonotonicNow(), call.final_event);
+    call.caller->SendEvent(MonotonicNow(), call.usage_event);
     call.caller->SendEvent(MonotonicNow(), "[DONE]");
     call.caller->EndStream();
     return;
   }
-  call.caller->SendWhole(
+  call.caller->SendCompleteAnswer(
       kHttpOk, "application/json",
       WholeAnswer(call.flow->spec().key, call.model.model, call.text,
                   call.charge.prompt_tokens, call.charge.completion_tokens,
@@ -367,30 +368,31 @@
     case UpstreamEvent::Kind::kChunk:
       break;
     case UpstreamEvent::Kind::kEnd:
-      call->end = event;
-      call->final_event = event.data;
+      call->end_event = event;
+      call->usage_event = event.data;
       call->content_type = call->upstream->content_type();
-      Release(now, *call, EndpointTable::Finish::kOk);
+      ReleaseEndpoint(now, *call, EndpointTable::Finish::kOk);
       break;
     case UpstreamEvent::Kind::kRefused:
-      Release(now, *call, EndpointTable::Finish::kRefused);
+      ReleaseEndpoint(now, *call, EndpointTable::Finish::kRefused);
       break;
     default:
-      Release(now, *call, EndpointTable::Finish::kFailed);
+      ReleaseEndpoint(now, *call, EndpointTable::Finish::kFailed);
       break;
   }
   Perform(*call, call->flow->OnUpstream(now, event));
   if (event.kind != UpstreamEvent::Kind::kChunk) {
-    Pump(now);
+    StartQueued(now);
   }
 }
 
-void EntryCalls::Release(Millis now,
-                         EntryCall& call,
-                         EndpointTable::Finish finish) {
-  if (!call.busy_endpoint.empty()) {
-    endpoints_->OnFinish(now, call.busy_endpoint, call.busy_since, finish);
-    call.busy_endpoint.clear();
+void EntryCalls::ReleaseEndpoint(Millis now,
+                                 EntryCall& call,
+                                 EndpointTable::Finish finish) {
+  if (!call.in_flight_endpoint.empty()) {
+    endpoints_->OnFinish(now, call.in_flight_endpoint, call.dispatched_at,
+                         finish);
+    call.in_flight_endpoint.clear();
   }
 }
 
@@ -443,12 +445,12 @@
       Perform(*call, call->flow->Refuse(ResultCode::kDeadlineExceeded));
     }
   }
-  TickCalls(now);
-  Pump(now);
+  CheckTimeouts(now);
+  StartQueued(now);
   finished_.clear();
 }
 
-void EntryCalls::TickCalls(Millis now) {
+void EntryCalls::CheckTimeouts(Millis now) {
   std::vector<uint64_t> attempts;
   for (const auto& [attempt, call] : calls_) {
     attempts.push_back(attempt);
@@ -462,8 +464,8 @@
       Perform(*call, call->flow->OnTick(now));
     }
     const CallerStream& caller = *call->caller;
-    const bool slow = caller.pending() > 0 &&
-                      now >= caller.progress_at() + limits_.slow_reader;
+    const bool slow = caller.pending_bytes() > 0 &&
+                      now >= caller.last_progress_at() + limits_.slow_reader;
     if (slow) {
       Perform(*call, call->flow->OnCallerGone(now, ResultCode::kSlowReader));
       call->caller->Abort();
--- a/src/transport/entry_calls.h
+++ b/src/transport/entry_calls.h
@@ -23,7 +23,7 @@
 class Metrics;
 struct Admission;
 
-//! The requests an entry has open: their queue, their flows, their calls at
+//! The open requests of an entry: their queue, their flows, their calls at
 //! endpoints and the answers to their callers. Belongs to the entry's task.
 class EntryCalls {
  public:
@@ -38,30 +38,31 @@
   EntryCalls(const EntryCalls&) = delete;
   EntryCalls& operator=(const EntryCalls&) = delete;
 
-  //! Sets the connections. Call once, before the first request.
-  void Connect(CoordinationTask* coordination,
-               HttpClient* http,
-               EndpointProber* prober);
+  //! Sets the objects that the calls use. Call once, before the first request.
+  void SetDependencies(CoordinationTask* coordination,
+                       HttpClient* http,
+                       EndpointProber* prober);
 
-  //! Queues a request, or refuses it.
+  //! Queues a request, or refuses it if the entry or its queue is full.
   void Admit(Admission admission);
 
   void Handle(const ReserveReply& notice);
   void Handle(const SettledNotice& notice);
   void Handle(const ContentVerdict& notice);
 
-  //! Checks timeouts and starts what has room. Call it several times a second.
+  //! Checks timeouts and starts queued requests whose service has free slots.
+  //! Call it several times a second.
   void OnTick(Millis now);
 
-  //! Cuts all that is open.
+  //! Drops all open requests without answering them.
   void Clear();
 
   size_t size() const { return calls_.size(); }
   size_t queue_length() const { return queue_.size(); }
 
  private:
-  void Pump(Millis now);
-  bool HasRoom(Millis now, const std::string& service) const;
+  void StartQueued(Millis now);
+  bool HasFreeSlot(Millis now, const std::string& service) const;
   EntryCall* Find(uint64_t attempt);
   uint64_t NewAttempt();
   CallerStream::Handler HandlerFor(uint64_t attempt);
@@ -87,9 +88,11 @@
   void SendAnswer(EntryCall& call);
   void Forward(EntryCall& call, const std::string& data);
   void OnUpstream(uint64_t attempt, const UpstreamEvent& event);
-  void Release(Millis now, EntryCall& call, EndpointTable::Finish finish);
+  void ReleaseEndpoint(Millis now,
+                       EntryCall& call,
+                       EndpointTable::Finish finish);
   void OnCallerFinished(uint64_t attempt, bool written);
-  void TickCalls(Millis now);
+  void CheckTimeouts(Millis now);
 
   EntryLimits limits_;
   uint64_t incarnation_;
@@ -100,8 +103,8 @@
   HttpClient* http_ = nullptr;
   EndpointProber* prober_ = nullptr;
   AdmissionQueue queue_;
-  RetryBudget retries_;
-  AffinityChoice choice_;
+  RetryBudget retry_budget_;
+  AffinityChoice endpoint_choice_;
   std::map<uint64_t, std::unique_ptr<EntryCall>> calls_;  //!< By attempt.
   std::vector<std::unique_ptr<EntryCall>> finished_;
 };
--- a/src/transport/entry_limits.h
+++ b/src/transport/entry_limits.h
@@ -8,7 +8,7 @@
 
 namespace tamaracktrail {
 
-//! Limits of an entry towards its callers. Immutable.
+//! Limits that an entry applies to its callers' requests. Immutable.
 struct EntryLimits {
   size_t max_body_bytes = 1024 * 1024;
   size_t max_header_bytes = 32 * 1024;
@@ -16,10 +16,12 @@
   size_t max_streams = 512;
   size_t queue_length = 256;
   size_t queue_per_organisation = 128;
-  size_t stream_buffer_bytes = 256 * 1024;  //!< Unread bytes of one stream.
-  Millis slow_reader{15000};  //!< Longest time without a byte read.
+  //! Unsent bytes of one stream above which reading from its endpoint pauses.
+  size_t stream_buffer_bytes = 256 * 1024;
+  //! Longest time in which no pending byte is written to the caller.
+  Millis slow_reader{15000};
   Millis reserve_timeout{4500};
-  Millis idle_timeout{30000};  //!< Longest silence of an endpoint.
+  Millis idle_timeout{30000};  //!< Longest gap between events.
   double retry_ratio = 0.1;
   double retry_burst = 20;
 
--- a/src/transport/entry_server.cpp
+++ b/src/transport/entry_server.cpp
@@ -27,7 +27,7 @@
 constexpr size_t kMaxKeyChars = 200;
 const char kServicesPrefix[] = "/services/";
 
-std::string HeaderOf(SoupServerMessage* message, const char* name) {
+std::string GetHeader(SoupServerMessage* message, const char* name) {
   const char* value = soup_message_headers_get_one(
       soup_server_message_get_request_headers(message), name);
   return value == nullptr ? "" : value;
@@ -44,7 +44,7 @@
   return n;
 }
 
-std::string BodyOf(SoupServerMessage* message) {
+std::string GetBody(SoupServerMessage* message) {
   SoupMessageBody* body = soup_server_message_get_request_body(message);
   if (body == nullptr || body->length == 0) {
     return "";
@@ -62,8 +62,8 @@
 }
 
 void LimitBody(SoupServerMessage* message, size_t limit) {
-  auto* left = new size_t(limit);
-  g_object_set_data_full(G_OBJECT(message), "body-left", left,
+  auto* remaining = new size_t(limit);
+  g_object_set_data_full(G_OBJECT(message), "body-left", remaining,
                          [](gpointer it) { delete static_cast<size_t*>(it); });
   g_signal_connect(
       message, "got-chunk",
@@ -76,11 +76,12 @@
         }
         *rest -= g_bytes_get_size(chunk);
       }),
-      left);
+      remaining);
 }
 
-//! Keys stand in log lines and records as they come.
-bool IsSoundKey(const std::string& key) {
+//! Whether `key` is short enough and safe to be written to log lines and
+//! records without escaping.
+bool IsValidKey(const std::string& key) {
   return key.size() <= kMaxKeyChars &&
          std::all_of(key.begin(), key.end(), [](char it) {
            return it > ' ' && it < '\x7f' && it != '"';
@@ -182,9 +183,9 @@
   if (HeaderBytes(message) > options_.limits.max_header_bytes) {
     Refuse(message, ResultCode::kHeadersTooLarge, "");
   } else if (path == "/healthz") {
-    Probe(message, true);
+    AnswerHealthCheck(message, true);
   } else if (path == "/readyz") {
-    Probe(message, catalog_ != nullptr && !draining_);
+    AnswerHealthCheck(message, catalog_ != nullptr && !draining_);
   } else if (path == "/metrics") {
     ServeMetrics(message);
   } else if (path == "/status") {
@@ -207,7 +208,7 @@
   }
 }
 
-void EntryServer::Probe(SoupServerMessage* message, bool ok) {
+void EntryServer::AnswerHealthCheck(SoupServerMessage* message, bool ok) {
   soup_server_message_set_status(
       message, ok ? SOUP_STATUS_OK : SOUP_STATUS_SERVICE_UNAVAILABLE, nullptr);
 }
@@ -241,7 +242,7 @@
 std::optional<EntryServer::Caller> EntryServer::Identify(
     SoupServerMessage* message) {
   const std::string prefix = "Bearer ";
-  const std::string header = HeaderOf(message, "Authorization");
+  const std::string header = GetHeader(message, "Authorization");
   Caller caller;
   if (header.starts_with(prefix)) {
     caller.organisation = catalog_->Authenticate(header.substr(prefix.size()));
@@ -250,8 +251,8 @@
     Refuse(message, ResultCode::kUnauthorized, "");
     return std::nullopt;
   }
-  caller.key = HeaderOf(message, "Idempotency-Key");
-  if (!IsSoundKey(caller.key)) {
+  caller.key = GetHeader(message, "Idempotency-Key");
+  if (!IsValidKey(caller.key)) {
     Refuse(message, ResultCode::kBadRequest,
            "Idempotency-Key is too long or has spaces or quotes");
     return std::nullopt;
@@ -273,7 +274,7 @@
 }
 
 void EntryServer::ServeModelCall(SoupServerMessage* message, bool chat) {
-  const std::string body = BodyOf(message);
+  const std::string body = GetBody(message);
   const std::optional<Caller> caller = Identify(message);
   if (!caller.has_value()) {
     return;
@@ -303,7 +304,7 @@
   spec.worst_case = call->model.prompt_bound + call->model.max_tokens;
   spec.resumable = service->resumable;
   spec.content = ContentHash(service->name, call->model.body);
-  HandOn(message, *caller, *service, std::move(call), std::move(spec));
+  Submit(message, *caller, *service, std::move(call), std::move(spec));
 }
 
 void EntryServer::ServePlainCall(SoupServerMessage* message,
@@ -311,7 +312,7 @@
   const std::string rest = path.substr(sizeof(kServicesPrefix) - 1);
   const size_t slash = rest.find('/');
   const std::string name = rest.substr(0, slash);
-  const std::string body = BodyOf(message);
+  const std::string body = GetBody(message);
   const std::optional<Caller> caller = Identify(message);
   if (!caller.has_value()) {
     return;
@@ -334,15 +335,15 @@
     call->path += std::string("?") + query;
   }
   call->body = body;
-  call->content_type = HeaderOf(message, "Content-Type");
+  call->content_type = GetHeader(message, "Content-Type");
   spec.worst_case = service.cost;
   spec.fixed_cost = service.cost;
   spec.content =
       ContentHash(service.name, call->method + call->path + "\n" + body);
-  HandOn(message, *caller, service, std::move(call), std::move(spec));
+  Submit(message, *caller, service, std::move(call), std::move(spec));
 }
 
-void EntryServer::HandOn(SoupServerMessage* message,
+void EntryServer::Submit(SoupServerMessage* message,
                          const Caller& caller,
                          const ServiceSpec& service,
                          std::unique_ptr<EntryCall> call,
--- a/src/transport/entry_server.h
+++ b/src/transport/entry_server.h
@@ -23,8 +23,8 @@
 struct EntryCall;
 struct FlowSpec;
 
-//! The HTTP server towards callers: checks requests and hands the sound ones
-//! on. Belongs to the task that made it.
+//! The HTTP server for callers: validates requests and passes the valid ones to
+//! its handler. Belongs to the task that created it.
 class EntryServer {
  public:
   struct Options {
@@ -36,7 +36,7 @@
 
   struct Handler {
     std::function<void(Admission)> on_request;
-    //! Answers the paused message with the instance's status.
+    //! Answers the message, which is paused, with the instance's status.
     std::function<void(SoupServerMessage*)> on_status;
   };
 
@@ -60,6 +60,7 @@
   void Drain() { draining_ = true; }
 
  private:
+  //! The organisation and the idempotency key of a request.
   struct Caller {
     const OrganisationSpec* organisation = nullptr;
     std::string key;
@@ -68,16 +69,18 @@
   absl::Status SetCertificate();
   void AddHandlers();
   void Route(SoupServerMessage* message, const std::string& path);
-  void Probe(SoupServerMessage* message, bool ok);
+  void AnswerHealthCheck(SoupServerMessage* message, bool ok);
   void ServeMetrics(SoupServerMessage* message);
   void ServeModels(SoupServerMessage* message);
   void ServeModelCall(SoupServerMessage* message, bool chat);
   void ServePlainCall(SoupServerMessage* message, const std::string& path);
+  //! Authenticates a request; answers with an error and returns none if its
+  //! bearer key or idempotency key is invalid.
   std::optional<Caller> Identify(SoupServerMessage* message);
   void Refuse(SoupServerMessage* message,
               ResultCode code,
               const std::string& detail);
-  void HandOn(SoupServerMessage* message,
+  void Submit(SoupServerMessage* message,
               const Caller& caller,
               const ServiceSpec& service,
               std::unique_ptr<EntryCall> call,
--- a/src/transport/entry_task.cpp
+++ b/src/transport/entry_task.cpp
@@ -22,8 +22,8 @@
 namespace {
 
 constexpr Millis kTick{50};
-constexpr Millis kReportPeriod{200};
-constexpr Millis kPauseNoticed{700};
+constexpr Millis kReportInterval{200};
+constexpr Millis kSuspendThreshold{700};
 
 }  // namespace
 
@@ -44,12 +44,12 @@
   coordination_ = coordination;
   task_.Start();
   absl::Status status;
-  task_.Run([&] {
+  task_.PostAndWait([&] {
     http_ = std::make_unique<HttpClient>();
     prober_ = std::make_unique<EndpointProber>(
         http_.get(),
         [this](const EndpointObservation& it) { endpoints_.Observe(it); });
-    calls_.Connect(coordination_, http_.get(), prober_.get());
+    calls_.SetDependencies(coordination_, http_.get(), prober_.get());
     EntryServer::Handler handler;
     handler.on_request = [this](Admission it) { calls_.Admit(std::move(it)); };
     handler.on_status = [this](SoupServerMessage* it) { ServeStatus(it); };
@@ -57,7 +57,7 @@
                                             &random_, metrics_);
     status = server_->Listen();
     last_tick_ = MonotonicNow();
-    task_.Every(kTick, [this] { Tick(); });
+    task_.RunEvery(kTick, [this] { Tick(); });
   });
   if (!status.ok()) {
     Stop();
@@ -71,12 +71,12 @@
 
 size_t EntryTask::OpenCalls() {
   size_t n = 0;
-  task_.Run([&] { n = calls_.size(); });
+  task_.PostAndWait([&] { n = calls_.size(); });
   return n;
 }
 
 void EntryTask::Stop() {
-  task_.Run([this] {
+  task_.PostAndWait([this] {
     calls_.Clear();
     server_.reset();
     prober_.reset();
@@ -127,7 +127,7 @@
 }
 
 void EntryTask::Handle(const ProbeDuty& notice) {
-  probe_duty_ = notice.endpoints;
+  assigned_endpoints_ = notice.endpoints;
   endpoints_.SetSharers(notice.instances);
 }
 
@@ -159,17 +159,17 @@
     return;  // Stopped.
   }
   const Millis now = MonotonicNow();
-  if (now - last_tick_ > kPauseNoticed) {
-    // What was seen before a pause of this process may long be out of date.
+  if (now - last_tick_ > kSuspendThreshold) {
+    // Observations from before a suspension of this process may be out of date.
     endpoints_.ForgetBefore(now);
     LOG(WARNING) << "event=paused ms=" << (now - last_tick_).count();
   }
   last_tick_ = now;
-  for (const EndpointSpec& it : endpoints_.ToProbe(now, probe_duty_)) {
+  for (const EndpointSpec& it : endpoints_.ToProbe(now, assigned_endpoints_)) {
     prober_->Probe(now, it);
   }
-  if (now >= reported_at_ + kReportPeriod) {
-    reported_at_ = now;
+  if (now >= last_report_at_ + kReportInterval) {
+    last_report_at_ = now;
     Report(now);
   }
   calls_.OnTick(now);
@@ -178,7 +178,7 @@
 void EntryTask::Report(Millis now) {
   std::vector<Placer::EndpointState> states = EndpointStates(now);
   std::map<std::string, int> demand = Demand(now, states);
-  coordination_->ReportEndpoints(endpoints_.News(now, probe_duty_),
+  coordination_->ReportEndpoints(endpoints_.News(now, assigned_endpoints_),
                                  std::move(states), std::move(demand));
   metrics_->Set("tamaracktrail_open_requests",
                 static_cast<double>(calls_.size()));
@@ -223,9 +223,9 @@
                  std::find(it.loaded.begin(), it.loaded.end(), target) !=
                      it.loaded.end();
         });
-    // A service whose endpoints have no room left wants one copy more.
-    const int more = endpoints_.Room(now, service) == 0 ? 1 : 0;
-    demand[name] = static_cast<int>(copies) + more;
+    // A service whose endpoints have no free slots needs one more copy.
+    const int extra_copies = endpoints_.Room(now, service) == 0 ? 1 : 0;
+    demand[name] = static_cast<int>(copies) + extra_copies;
   }
   return demand;
 }
--- a/src/transport/entry_task.h
+++ b/src/transport/entry_task.h
@@ -23,9 +23,8 @@
 class HttpClient;
 class Metrics;
 
-//! Serves callers: owns the server towards them, the open requests and the
-//! view of the endpoints. Other tasks reach it by the methods marked
-//! thread-safe.
+//! Serves callers: owns their HTTP server, the open requests and the table of
+//! endpoints. Other tasks use the methods marked thread-safe.
 class EntryTask {
  public:
   struct Options {
@@ -33,7 +32,7 @@
     std::string data_centre;
     EntryServer::Options server;
     EndpointTable::Options endpoints;
-    uint64_t seed = 0;  //!< Of the random choices.
+    uint64_t seed = 0;  //!< Seed of the random choices.
   };
 
   //! Precondition: `metrics` outlives the task.
@@ -47,16 +46,17 @@
   //! task.
   absl::Status Start(CoordinationTask* coordination);
 
-  //! Refuses new requests and lets open ones end. Thread-safe.
+  //! Refuses new requests; open ones continue. Thread-safe.
   void Drain();
 
-  //! Requests that are open. Call from another thread.
+  //! Number of open requests. Call from another thread.
   size_t OpenCalls();
 
-  //! Ends the task. Open calls are cut: drain first.
+  //! Ends the task and drops open requests, so call Drain and wait until
+  //! OpenCalls() is 0 first. Call from another thread.
   void Stop();
 
-  //! Thread-safe.
+  //! Delivers notices of the coordination. Thread-safe.
   void Notify(std::vector<EntryNotice> notices);
 
  private:
@@ -86,9 +86,9 @@
   std::unique_ptr<HttpClient> http_;
   std::unique_ptr<EndpointProber> prober_;
   std::shared_ptr<const Catalog> catalog_;
-  std::vector<std::string> probe_duty_;
+  std::vector<std::string> assigned_endpoints_;
   Millis last_tick_;
-  Millis reported_at_;
+  Millis last_report_at_;
 };
 
 }  // namespace tamaracktrail
--- a/src/transport/internal/admission.h
+++ b/src/transport/internal/admission.h
@@ -13,11 +13,11 @@
 
 namespace tamaracktrail {
 
-//! A checked request on its way into the entry's queue.
+//! A validated request that is about to enter the entry's queue.
 struct Admission {
   SoupServerMessage* message = nullptr;
   std::unique_ptr<EntryCall> call;
-  FlowSpec spec;  //!< Complete but for the entry's own fields.
+  FlowSpec spec;  //!< Complete except for fields that EntryCalls sets.
   int priority = 5;
   Millis deadline;  //!< Longest wait in the queue.
 };
--- a/src/transport/internal/caller_refusal.h
+++ b/src/transport/internal/caller_refusal.h
@@ -11,8 +11,8 @@
 
 class Metrics;
 
-//! Answers a request that was not admitted, counts it and logs it. Call it on
-//! the task of the message's server.
+//! Answers a request that was not admitted with an error, counts it and logs
+//! it. Call it on the task of the message's server.
 void RefuseCaller(SoupServerMessage* message,
                   ResultCode code,
                   const std::string& detail,
--- a/src/transport/internal/caller_stream.cpp
+++ b/src/transport/internal/caller_stream.cpp
@@ -39,9 +39,9 @@
       message_, "wrote-body-data",
       G_CALLBACK(+[](SoupServerMessage*, guint n, gpointer data) {
         auto* self = static_cast<CallerStream*>(data);
-        self->pending_ -= std::min<size_t>(self->pending_, n);
-        self->progress_at_ = MonotonicNow();
-        if (self->pending_ == 0 && self->handler_.on_drained) {
+        self->pending_bytes_ -= std::min<size_t>(self->pending_bytes_, n);
+        self->last_progress_at_ = MonotonicNow();
+        if (self->pending_bytes_ == 0 && self->handler_.on_drained) {
           self->handler_.on_drained();
         }
       }),
@@ -84,9 +84,9 @@
   const GSocketSourceFunc on_ready = [](GSocket*, GIOCondition,
                                         gpointer data) -> gboolean {
     auto* self = static_cast<CallerStream*>(data);
-    if (self->CallerIsGone() && self->handler_.on_gone) {
-      const auto on_gone = self->handler_.on_gone;
-      on_gone();
+    if (self->CallerDisconnected() && self->handler_.on_disconnected) {
+      const auto on_disconnected = self->handler_.on_disconnected;
+      on_disconnected();
     }
     return G_SOURCE_REMOVE;
   };
@@ -94,13 +94,13 @@
   g_source_attach(watch_, g_main_context_get_thread_default());
 }
 
-bool CallerStream::CallerIsGone() const {
+bool CallerStream::CallerDisconnected() const {
   GSocket* socket = soup_server_message_get_socket(message_);
   if (socket == nullptr || finished_) {
     return true;
   }
   char buf = 0;
-  // Bytes after the request are a further request: the caller is there.
+  // Bytes after the request are a pipelined request: the caller is connected.
   const ssize_t n =
       recv(g_socket_get_fd(socket), &buf, 1, MSG_PEEK | MSG_DONTWAIT);
   return n == 0 || (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
@@ -131,11 +131,11 @@
   if (!started_) {
     StartStream();
   }
-  if (pending_ == 0) {
-    progress_at_ = now;
+  if (pending_bytes_ == 0) {
+    last_progress_at_ = now;
   }
   const std::string event = absl::StrCat("data: ", data, "\n\n");
-  pending_ += event.size();
+  pending_bytes_ += event.size();
   soup_message_body_append(soup_server_message_get_response_body(message_),
                            SOUP_MEMORY_COPY, event.data(), event.size());
   soup_server_message_unpause(message_);
@@ -150,16 +150,16 @@
   soup_server_message_unpause(message_);
 }
 
-void CallerStream::SendWhole(int status,
-                             const std::string& content_type,
-                             const std::string& body) {
+void CallerStream::SendCompleteAnswer(int status,
+                                      const std::string& content_type,
+                                      const std::string& body) {
   if (ended_ || finished_) {
     return;
   }
   started_ = true;
   ended_ = true;
-  pending_ += body.size();
-  progress_at_ = MonotonicNow();
+  pending_bytes_ += body.size();
+  last_progress_at_ = MonotonicNow();
   soup_server_message_set_status(message_, static_cast<guint>(status), nullptr);
   soup_server_message_set_response(message_, content_type.c_str(),
                                    SOUP_MEMORY_COPY, body.data(), body.size());
@@ -179,7 +179,7 @@
   if (info.retry_after_s > 0) {
     SetHeader("Retry-After", absl::StrCat(info.retry_after_s));
   }
-  SendWhole(info.http_status, "application/json", body);
+  SendCompleteAnswer(info.http_status, "application/json", body);
 }
 
 void CallerStream::Abort() {
--- a/src/transport/internal/caller_stream.h
+++ b/src/transport/internal/caller_stream.h
@@ -13,19 +13,21 @@
 
 namespace tamaracktrail {
 
-//! The answer to one caller: a stream of events, a whole body or an error.
-//! Belongs to the task that made it.
+//! The answer to one caller: a stream of events, a complete body or an error.
+//! Belongs to the task that created it.
 class CallerStream {
  public:
   struct Handler {
-    std::function<void()> on_gone;     //!< The caller closed its connection.
-    std::function<void()> on_drained;  //!< All queued bytes are written.
-    //! The exchange is over; `written` tells whether the whole answer was
+    //! The caller closed its connection.
+    std::function<void()> on_disconnected;
+    //! All queued bytes are written.
+    std::function<void()> on_drained;
+    //! The exchange is over; `written` is whether the complete answer was
     //! handed to the network.
     std::function<void(bool written)> on_finished;
   };
 
-  //! Takes a reference of `message` and pauses it.
+  //! Takes a reference to `message` and pauses it.
   CallerStream(SoupServerMessage* message, Handler handler);
   ~CallerStream();
 
@@ -41,13 +43,13 @@
   //! Ends the stream.
   void EndStream();
 
-  //! Sends a whole answer. Precondition: nothing was sent yet.
-  void SendWhole(int status,
-                 const std::string& content_type,
-                 const std::string& body);
+  //! Sends a complete answer. Precondition: nothing was sent yet.
+  void SendCompleteAnswer(int status,
+                          const std::string& content_type,
+                          const std::string& body);
 
-  //! Sends an error: as a whole answer, or as an event where the stream has
-  //! started.
+  //! Sends an error: as a complete answer, or as the stream's last event if the
+  //! stream has started.
   void SendError(ResultCode code,
                  RunState run_state,
                  const std::string& detail);
@@ -55,24 +57,24 @@
   //! Closes the connection without the rest of the answer.
   void Abort();
 
-  //! Bytes queued and not written yet.
-  size_t pending() const { return pending_; }
+  //! Bytes that are queued and not yet written.
+  size_t pending_bytes() const { return pending_bytes_; }
 
-  //! Last time that bytes were written, or queued to an empty queue.
-  Millis progress_at() const { return progress_at_; }
+  //! Last time that bytes were written, or queued while the queue was empty.
+  Millis last_progress_at() const { return last_progress_at_; }
   bool started() const { return started_; }
 
  private:
   void StartStream();
   void WatchSocket();
-  bool CallerIsGone() const;
+  bool CallerDisconnected() const;
 
   SoupServerMessage* message_;
   Handler handler_;
   GSource* watch_ = nullptr;
   unsigned long signals_[3] = {0, 0, 0};
-  size_t pending_ = 0;
-  Millis progress_at_;
+  size_t pending_bytes_ = 0;
+  Millis last_progress_at_;
   bool started_ = false;
   bool ended_ = false;
   bool written_ = false;
--- a/src/transport/internal/entry_call.h
+++ b/src/transport/internal/entry_call.h
@@ -13,7 +13,7 @@
 
 namespace tamaracktrail {
 
-//! One request that an entry has open. Belongs to the entry's task.
+//! One open request of an entry. Belongs to the entry's task.
 struct EntryCall {
   uint64_t attempt = 0;
   std::unique_ptr<CallerStream> caller;
@@ -28,15 +28,15 @@
   std::string content_type;
   int priority = 5;
 
-  Millis since;
+  Millis received_at;
   Millis first_chunk_at;
-  std::string text;  //!< Collected answer of a call that is not streamed.
-  std::string
-      final_event;  //!< Usage event, held back until the charge is safe.
-  UpstreamEvent end;
-  std::string busy_endpoint;  //!< Counted as in flight in the endpoint table.
-  Millis busy_since;
-  Charge charge;  //!< Of the latest settlement.
+  std::string text;  //!< Collected text of an answer that is not streamed.
+  std::string usage_event;  //!< Held back until the charge is safe.
+  UpstreamEvent end_event;
+  //! Endpoint whose in-flight count includes this call; empty for none.
+  std::string in_flight_endpoint;
+  Millis dispatched_at;
+  Charge charge;  //!< Charge of the latest settlement.
   bool settled = false;
   bool queued = true;
 };
--- a/src/transport/internal/peer_connection.cpp
+++ b/src/transport/internal/peer_connection.cpp
@@ -16,11 +16,12 @@
 
 }  // namespace
 
-//! Lets callbacks find out that their connection object is gone.
-struct PeerConnection::Link {
+//! State that pending callbacks share with the connection object; `owner` is
+//! null once that object is destroyed.
+struct PeerConnection::SharedState {
   PeerConnection* owner = nullptr;
   bool writing = false;
-  std::string frame;  //!< Being written.
+  std::string frame;  //!< Frame that is being written.
   std::array<char, kReadBytes> buf;
 };
 
@@ -29,12 +30,12 @@
     : connection_(G_SOCKET_CONNECTION(g_object_ref(connection))),
       cancellable_(g_cancellable_new()),
       codec_(codec),
-      link_(std::make_shared<Link>()) {
-  link_->owner = this;
+      shared_(std::make_shared<SharedState>()) {
+  shared_->owner = this;
 }
 
 PeerConnection::~PeerConnection() {
-  link_->owner = nullptr;
+  shared_->owner = nullptr;
   g_cancellable_cancel(cancellable_);
   g_io_stream_close(G_IO_STREAM(connection_), nullptr, nullptr);
   g_object_unref(cancellable_);
@@ -44,33 +45,33 @@
 void PeerConnection::Start(OnMessage on_message, OnClosed on_closed) {
   on_message_ = std::move(on_message);
   on_closed_ = std::move(on_closed);
-  ReadMore();
+  StartRead();
 }
 
 bool PeerConnection::Send(const PeerMessage& message) {
-  if (closed_ || outgoing_.size() >= kMaxQueue) {
+  if (closed_ || write_queue_.size() >= kMaxQueue) {
     return false;
   }
-  outgoing_.push_back(codec_->Encode(message));
-  WriteMore();
+  write_queue_.push_back(codec_->Encode(message));
+  StartWrite();
   return true;
 }
 
-void PeerConnection::ReadMore() {
+void PeerConnection::StartRead() {
   GInputStream* in = g_io_stream_get_input_stream(G_IO_STREAM(connection_));
-  auto* held = new std::shared_ptr<Link>(link_);
+  auto* reference = new std::shared_ptr<SharedState>(shared_);
   g_input_stream_read_async(
-      in, link_->buf.data(), link_->buf.size(), G_PRIORITY_DEFAULT,
+      in, shared_->buf.data(), shared_->buf.size(), G_PRIORITY_DEFAULT,
       cancellable_,
       [](GObject* stream, GAsyncResult* result, gpointer data) {
-        const std::unique_ptr<std::shared_ptr<Link>> link(
-            static_cast<std::shared_ptr<Link>*>(data));
+        const std::unique_ptr<std::shared_ptr<SharedState>> shared(
+            static_cast<std::shared_ptr<SharedState>*>(data));
         GError* ec = nullptr;
         const gssize n =
             g_input_stream_read_finish(G_INPUT_STREAM(stream), result, &ec);
         const std::string error = ec == nullptr ? "closed" : ec->message;
         g_clear_error(&ec);
-        PeerConnection* owner = (*link)->owner;
+        PeerConnection* owner = (*shared)->owner;
         if (owner == nullptr) {
           return;
         }
@@ -78,14 +79,14 @@
           owner->Close(absl::UnavailableError(error));
           return;
         }
-        owner->received_.append((*link)->buf.data(), static_cast<size_t>(n));
-        owner->TakeFrames();
+        owner->received_.append((*shared)->buf.data(), static_cast<size_t>(n));
+        owner->DecodeFrames();
       },
-      held);
+      reference);
 }
 
-void PeerConnection::TakeFrames() {
-  const std::shared_ptr<Link> link = link_;
+void PeerConnection::DecodeFrames() {
+  const std::shared_ptr<SharedState> shared = shared_;
   while (true) {
     absl::StatusOr<std::optional<PeerMessage>> message =
         codec_->TakeFrom(received_);
@@ -97,35 +98,35 @@
       break;
     }
     on_message_(**message);
-    if (link->owner == nullptr || closed_) {
+    if (shared->owner == nullptr || closed_) {
       return;
     }
   }
-  ReadMore();
+  StartRead();
 }
 
-void PeerConnection::WriteMore() {
-  if (link_->writing || outgoing_.empty() || closed_) {
+void PeerConnection::StartWrite() {
+  if (shared_->writing || write_queue_.empty() || closed_) {
     return;
   }
-  link_->writing = true;
-  link_->frame = std::move(outgoing_.front());
-  outgoing_.pop_front();
+  shared_->writing = true;
+  shared_->frame = std::move(write_queue_.front());
+  write_queue_.pop_front();
   GOutputStream* out = g_io_stream_get_output_stream(G_IO_STREAM(connection_));
-  auto* held = new std::shared_ptr<Link>(link_);
+  auto* reference = new std::shared_ptr<SharedState>(shared_);
   g_output_stream_write_all_async(
-      out, link_->frame.data(), link_->frame.size(), G_PRIORITY_DEFAULT,
+      out, shared_->frame.data(), shared_->frame.size(), G_PRIORITY_DEFAULT,
       cancellable_,
       [](GObject* stream, GAsyncResult* result, gpointer data) {
-        const std::unique_ptr<std::shared_ptr<Link>> link(
-            static_cast<std::shared_ptr<Link>*>(data));
+        const std::unique_ptr<std::shared_ptr<SharedState>> shared(
+            static_cast<std::shared_ptr<SharedState>*>(data));
         GError* ec = nullptr;
         const gboolean ok = g_output_stream_write_all_finish(
             G_OUTPUT_STREAM(stream), result, nullptr, &ec);
         const std::string error = ec == nullptr ? "" : ec->message;
         g_clear_error(&ec);
-        (*link)->writing = false;
-        PeerConnection* owner = (*link)->owner;
+        (*shared)->writing = false;
+        PeerConnection* owner = (*shared)->owner;
         if (owner == nullptr) {
           return;
         }
@@ -133,9 +134,9 @@
           owner->Close(absl::UnavailableError(error));
           return;
         }
-        owner->WriteMore();
+        owner->StartWrite();
       },
-      held);
+      reference);
 }
 
 void PeerConnection::Close(const absl::Status& status) {
--- a/src/transport/internal/peer_connection.h
+++ b/src/transport/internal/peer_connection.h
@@ -16,45 +16,47 @@
 
 class FrameCodec;
 
-//! Frames over one TCP connection. Belongs to the task that made it.
+//! Sends and receives frames over one TCP connection. Belongs to the task that
+//! created it.
 class PeerConnection {
  public:
   using OnMessage = std::function<void(const PeerMessage&)>;
   using OnClosed = std::function<void(const absl::Status&)>;
 
-  //! Frames that may wait to be written; more are dropped.
+  //! Frames that may wait to be written; further ones are dropped.
   static constexpr size_t kMaxQueue = 20000;
 
-  //! Takes a reference of `connection`. Precondition: `codec` outlives this.
+  //! Takes a reference to `connection`. Precondition: `codec` outlives this
+  //! object.
   PeerConnection(GSocketConnection* connection, const FrameCodec* codec);
   ~PeerConnection();
 
   PeerConnection(const PeerConnection&) = delete;
   PeerConnection& operator=(const PeerConnection&) = delete;
 
-  //! Starts reading. `on_closed` is called once, at the end or at the first
-  //! frame that is not right; not after destruction.
+  //! Starts reading. `on_closed` is called at most once, when the connection
+  //! ends or at the first invalid frame, and never after destruction.
   void Start(OnMessage on_message, OnClosed on_closed);
 
-  //! Queues a message; false where the queue is full.
+  //! Queues a message; false if the queue is full or the connection is closed.
   bool Send(const PeerMessage& message);
 
  private:
-  struct Link;
+  struct SharedState;
 
-  void ReadMore();
-  void WriteMore();
+  void StartRead();
+  void StartWrite();
   void Close(const absl::Status& status);
-  void TakeFrames();
+  void DecodeFrames();
 
   GSocketConnection* connection_;
   GCancellable* cancellable_;
   const FrameCodec* codec_;
   OnMessage on_message_;
   OnClosed on_closed_;
-  std::shared_ptr<Link> link_;  //!< Outlives this in pending callbacks.
+  std::shared_ptr<SharedState> shared_;  //!< Kept alive by pending callbacks.
   std::string received_;
-  std::deque<std::string> outgoing_;
+  std::deque<std::string> write_queue_;
   bool closed_ = false;
 };
 
--- a/src/transport/internal/status_json.h
+++ b/src/transport/internal/status_json.h
@@ -7,7 +7,7 @@
 
 struct CoordinatorStatus;
 
-//! The status of an instance as a JSON object. Thread-safe.
+//! Formats the status of an instance as a JSON object. Thread-safe.
 std::string StatusJson(const CoordinatorStatus& status);
 
 }  // namespace tamaracktrail
--- a/src/transport/internal/upstream_call.cpp
+++ b/src/transport/internal/upstream_call.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr gsize kReadBytes = 32 * 1024;
-constexpr size_t kMaxPlainBytes = 64 * 1024 * 1024;
-const char kDone[] = "[DONE]";
+constexpr size_t kMaxPlainBodyBytes = 64 * 1024 * 1024;
+const char kDoneMarker[] = "[DONE]";
 
 }  // namespace
 
@@ -29,14 +29,14 @@
   GInputStream* stream = nullptr;
   GSource* timer = nullptr;
   SseParser parser;
-  std::string plain;
+  std::string plain_body;
   std::string content_type;
   int status = 0;
   bool sent = false;
   bool ended = false;
   bool paused = false;
   bool reading = false;
-  bool saw_usage = false;
+  bool usage_received = false;
   uint64_t chunks = 0;
   UpstreamEvent end;
 
@@ -50,11 +50,13 @@
     g_clear_object(&message);
   }
 
-  using Held = std::shared_ptr<State>;
+  using StatePtr = std::shared_ptr<State>;
 
-  static Held* Hold(const Held& state) { return new Held(state); }
-  static std::unique_ptr<Held> Take(gpointer data) {
-    return std::unique_ptr<Held>(static_cast<Held*>(data));
+  static StatePtr* NewReference(const StatePtr& state) {
+    return new StatePtr(state);
+  }
+  static std::unique_ptr<StatePtr> TakeReference(gpointer data) {
+    return std::unique_ptr<StatePtr>(static_cast<StatePtr*>(data));
   }
 
   void End(UpstreamEvent event) {
@@ -88,8 +90,8 @@
 void UpstreamCall::State::OnSent(GObject* session,
                                  GAsyncResult* result,
                                  gpointer data) {
-  const std::unique_ptr<Held> held = Take(data);
-  const Held& state = *held;
+  const std::unique_ptr<StatePtr> reference = TakeReference(data);
+  const StatePtr& state = *reference;
   GError* ec = nullptr;
   GInputStream* stream =
       soup_session_send_finish(SOUP_SESSION(session), result, &ec);
@@ -132,14 +134,14 @@
   reading = true;
   g_input_stream_read_bytes_async(stream, kReadBytes, G_PRIORITY_DEFAULT,
                                   cancellable, OnRead,
-                                  Hold(shared_from_this()));
+                                  NewReference(shared_from_this()));
 }
 
 void UpstreamCall::State::OnRead(GObject* stream,
                                  GAsyncResult* result,
                                  gpointer data) {
-  const std::unique_ptr<Held> held = Take(data);
-  const Held& state = *held;
+  const std::unique_ptr<StatePtr> reference = TakeReference(data);
+  const StatePtr& state = *reference;
   GError* ec = nullptr;
   GBytes* bytes =
       g_input_stream_read_bytes_finish(G_INPUT_STREAM(stream), result, &ec);
@@ -170,8 +172,8 @@
     OnEvents(bytes);
     return;
   }
-  plain += bytes;
-  if (plain.size() > kMaxPlainBytes) {
+  plain_body += bytes;
+  if (plain_body.size() > kMaxPlainBodyBytes) {
     Fail();
   }
 }
@@ -186,8 +188,8 @@
 }
 
 void UpstreamCall::State::OnStreamEvent(const SseEvent& event) {
-  if (event.data == kDone) {
-    if (!saw_usage) {
+  if (event.data == kDoneMarker) {
+    if (!usage_received) {
       Fail();
       return;
     }
@@ -195,13 +197,14 @@
     End(end);
     return;
   }
-  // The id is ATTEMPT:SEQUENCE, so that an answer to another call is noticed.
+  // The id is ATTEMPT:SEQUENCE, so that an answer to another call is detected.
   const size_t colon = event.id.rfind(':');
   uint64_t sequence = 0;
-  const bool own = colon != std::string::npos &&
-                   event.id.substr(0, colon) == request.attempt_id &&
-                   absl::SimpleAtoi(event.id.substr(colon + 1), &sequence);
-  if (!own) {
+  const bool ids_match =
+      colon != std::string::npos &&
+      event.id.substr(0, colon) == request.attempt_id &&
+      absl::SimpleAtoi(event.id.substr(colon + 1), &sequence);
+  if (!ids_match) {
     Fail();
     return;
   }
@@ -224,7 +227,7 @@
     Fail();
     return;
   }
-  saw_usage = true;
+  usage_received = true;
   end.data = data;
   end.prompt_tokens = parsed["usage"].value("prompt_tokens", int64_t{0});
   end.completion_tokens =
@@ -233,12 +236,12 @@
 
 void UpstreamCall::State::OnEof() {
   if (request.streamed) {
-    Fail();  // The stream ended without its final event.
+    Fail();  // The stream ended without [DONE].
     return;
   }
   UpstreamEvent event;
   event.kind = UpstreamEvent::Kind::kEnd;
-  event.data = std::move(plain);
+  event.data = std::move(plain_body);
   End(std::move(event));
 }
 
@@ -253,7 +256,8 @@
       soup_message_new(request.method.c_str(), request.url.c_str());
   state_->message = message;
   soup_message_add_flags(message, SOUP_MESSAGE_NO_REDIRECT);
-  // libsoup may send a call again on a kept-alive connection that broke.
+  // libsoup may resend a request after a kept-alive connection broke, so a
+  // request that must not be repeated gets a new connection.
   soup_message_add_flags(message, request.may_repeat
                                       ? SOUP_MESSAGE_IDEMPOTENT
                                       : SOUP_MESSAGE_NEW_CONNECTION);
@@ -291,7 +295,7 @@
   g_source_attach(state_->timer, g_main_context_get_thread_default());
   soup_session_send_async(session, message, G_PRIORITY_DEFAULT,
                           state_->cancellable, State::OnSent,
-                          State::Hold(state_));
+                          State::NewReference(state_));
 }
 
 UpstreamCall::~UpstreamCall() {
--- a/src/transport/internal/upstream_call.h
+++ b/src/transport/internal/upstream_call.h
@@ -12,7 +12,8 @@
 
 namespace tamaracktrail {
 
-//! One attempt at an endpoint. Belongs to the task that made it.
+//! One attempt of a request at an endpoint. Belongs to the task that created
+//! it.
 class UpstreamCall {
  public:
   struct Request {
@@ -25,7 +26,7 @@
     int priority = 5;
     uint64_t resume_from = 0;
     bool streamed = true;    //!< The answer is a stream of events.
-    bool may_repeat = true;  //!< A kept-alive connection may be used.
+    bool may_repeat = true;  //!< A kept-alive connection may be reused.
     Millis connect_timeout{2000};
   };
 
@@ -35,17 +36,17 @@
   //! ends the attempt (any but kChunk), and never after destruction.
   UpstreamCall(SoupSession* session, const Request& request, OnEvent on_event);
 
-  //! Ends the attempt: the connection is closed, which cancels the call at the
+  //! Ends the attempt by closing the connection, which cancels the call at the
   //! endpoint.
   ~UpstreamCall();
 
   UpstreamCall(const UpstreamCall&) = delete;
   UpstreamCall& operator=(const UpstreamCall&) = delete;
 
-  //! Stops and resumes reading, for a slow reader on the other side.
+  //! Pauses or resumes reading, for back-pressure from a slow caller.
   void SetPaused(bool paused);
 
-  //! Content type of the answer; empty before its headers came.
+  //! Content type of the answer; empty until its headers are received.
   const std::string& content_type() const;
 
  private:
--- a/src/transport/peer_mesh.cpp
+++ b/src/transport/peer_mesh.cpp
@@ -18,8 +18,8 @@
 namespace {
 
 constexpr size_t kDatagramBytes = 64 * 1024;
-constexpr Millis kRedial{1000};
-constexpr size_t kMaxWaiting = 10000;
+constexpr Millis kReconnectInterval{1000};
+constexpr size_t kMaxQueuedMessages = 10000;
 
 GSocketAddress* ParseAddress(const std::string& text) {
   GSocketConnectable* parsed =
@@ -41,8 +41,8 @@
   return absl::UnavailableError(message);
 }
 
-//! What an asynchronous dial needs when it ends.
-struct DialState {
+//! User data of an asynchronous connection attempt.
+struct ConnectState {
   std::shared_ptr<PeerMesh*> mesh;
   InstanceId peer;
 };
@@ -59,12 +59,12 @@
       handler_(std::move(handler)),
       client_(g_socket_client_new()),
       cancellable_(g_cancellable_new()),
-      alive_(std::make_shared<PeerMesh*>(this)) {
+      self_handle_(std::make_shared<PeerMesh*>(this)) {
   g_socket_client_set_timeout(client_, 0);
 }
 
 PeerMesh::~PeerMesh() {
-  *alive_ = nullptr;
+  *self_handle_ = nullptr;
   g_cancellable_cancel(cancellable_);
   if (udp_source_ != nullptr) {
     g_source_destroy(udp_source_);
@@ -82,7 +82,8 @@
 absl::Status PeerMesh::Listen() {
   GSocketAddress* address = ParseAddress(self_.address);
   if (address == nullptr) {
-    return absl::InvalidArgumentError("not IP:port: " + self_.address);
+    return absl::InvalidArgumentError("not a numeric IP:port: " +
+                                      self_.address);
   }
   GError* ec = nullptr;
   listener_ = g_socket_listener_new();
@@ -142,7 +143,7 @@
   }
   const std::string frame = codec_->Encode(message);
   counters_.sent_bytes += frame.size();
-  // A lost datagram is no error: the next heartbeat replaces it.
+  // A lost datagram is not an error: the next heartbeat replaces it.
   g_socket_send_to(udp_, to, frame.data(), frame.size(), nullptr, nullptr);
   g_object_unref(to);
 }
@@ -151,11 +152,11 @@
   g_socket_listener_accept_async(
       listener_, cancellable_,
       [](GObject* listener, GAsyncResult* result, gpointer data) {
-        const std::unique_ptr<std::shared_ptr<PeerMesh*>> alive(
+        const std::unique_ptr<std::shared_ptr<PeerMesh*>> handle(
             static_cast<std::shared_ptr<PeerMesh*>*>(data));
         GSocketConnection* accepted = g_socket_listener_accept_finish(
             G_SOCKET_LISTENER(listener), result, nullptr, nullptr);
-        PeerMesh* mesh = **alive;
+        PeerMesh* mesh = **handle;
         if (mesh == nullptr) {
           g_clear_object(&accepted);
           return;
@@ -167,7 +168,9 @@
           PeerConnection* raw = connection.get();
           mesh->incoming_.push_back({0, std::move(connection)});
           raw->Start(
-              [mesh, raw](const PeerMessage& it) { mesh->OnAccepted(raw, it); },
+              [mesh, raw](const PeerMessage& it) {
+                mesh->OnIncomingMessage(raw, it);
+              },
               [mesh, raw](const absl::Status& status) {
                 if (!absl::IsUnavailable(status)) {
                   mesh->CountBadFrame(status, "tcp");
@@ -183,11 +186,11 @@
         }
         mesh->AcceptNext();
       },
-      new std::shared_ptr<PeerMesh*>(alive_));
+      new std::shared_ptr<PeerMesh*>(self_handle_));
 }
 
-void PeerMesh::OnAccepted(PeerConnection* connection,
-                          const PeerMessage& message) {
+void PeerMesh::OnIncomingMessage(PeerConnection* connection,
+                                 const PeerMessage& message) {
   auto it = std::find_if(
       incoming_.begin(), incoming_.end(),
       [&](const Incoming& in) { return in.connection.get() == connection; });
@@ -207,43 +210,44 @@
 void PeerMesh::Send(const InstanceId& to, const PeerMessage& message) {
   Outgoing& out = outgoing_[to.incarnation];
   out.peer = to;
-  if (out.greeted) {
+  if (out.hello_received) {
     if (!out.connection->Send(message)) {
       ++counters_.dropped_messages;
     }
     return;
   }
-  if (out.waiting.size() >= kMaxWaiting) {
+  if (out.queued.size() >= kMaxQueuedMessages) {
     ++counters_.dropped_messages;
     return;
   }
-  out.waiting.push_back(message);
-  if (!out.dialling && out.connection == nullptr) {
-    Dial(to);
+  out.queued.push_back(message);
+  if (!out.connecting && out.connection == nullptr) {
+    Connect(to);
   }
 }
 
-void PeerMesh::Check(Millis now, const InstanceId& peer) {
+void PeerMesh::CheckReachable(Millis now, const InstanceId& peer) {
   Outgoing& out = outgoing_[peer.incarnation];
   out.peer = peer;
-  const bool idle = !out.dialling && out.connection == nullptr;
-  if (idle && now >= out.dialled_at + kRedial) {
-    Dial(peer);
+  const bool idle = !out.connecting && out.connection == nullptr;
+  if (idle && now >= out.last_attempt_at + kReconnectInterval) {
+    Connect(peer);
   }
 }
 
-void PeerMesh::Dial(const InstanceId& peer) {
+void PeerMesh::Connect(const InstanceId& peer) {
   Outgoing& out = outgoing_[peer.incarnation];
   GSocketAddress* address = ParseAddress(peer.address);
   if (address == nullptr) {
     return;
   }
-  out.dialling = true;
-  out.dialled_at = MonotonicNow();
+  out.connecting = true;
+  out.last_attempt_at = MonotonicNow();
   g_socket_client_connect_async(
       client_, G_SOCKET_CONNECTABLE(address), cancellable_,
       [](GObject* client, GAsyncResult* result, gpointer data) {
-        const std::unique_ptr<DialState> state(static_cast<DialState*>(data));
+        const std::unique_ptr<ConnectState> state(
+            static_cast<ConnectState*>(data));
         GError* ec = nullptr;
         GSocketConnection* connection = g_socket_client_connect_finish(
             G_SOCKET_CLIENT(client), result, &ec);
@@ -253,26 +257,26 @@
         g_clear_error(&ec);
         PeerMesh* mesh = *state->mesh;
         if (mesh != nullptr) {
-          mesh->OnDialled(state->peer, connection, refused);
+          mesh->OnConnectFinished(state->peer, connection, refused);
         }
         g_clear_object(&connection);
       },
-      new DialState{alive_, peer});
+      new ConnectState{self_handle_, peer});
   g_object_unref(address);
 }
 
-void PeerMesh::OnDialled(const InstanceId& peer,
-                         void* connection,
-                         bool refused) {
+void PeerMesh::OnConnectFinished(const InstanceId& peer,
+                                 void* connection,
+                                 bool refused) {
   auto it = outgoing_.find(peer.incarnation);
   if (it == outgoing_.end()) {
     return;
   }
-  it->second.dialling = false;
+  it->second.connecting = false;
   if (connection == nullptr) {
-    // Whoever sent the waiting messages repeats what matters.
-    counters_.dropped_messages += it->second.waiting.size();
-    it->second.waiting.clear();
+    // The senders of the queued messages repeat what has to arrive.
+    counters_.dropped_messages += it->second.queued.size();
+    it->second.queued.clear();
     if (refused) {
       handler_.on_exit(peer.incarnation, "its address refuses connections");
     }
@@ -282,7 +286,7 @@
       std::make_unique<PeerConnection>(G_SOCKET_CONNECTION(connection), codec_);
   it->second.connection->Send(Hello{self_, data_centre_});
   it->second.connection->Start(
-      [this, peer](const PeerMessage& message) { OnGreeting(peer, message); },
+      [this, peer](const PeerMessage& message) { OnHello(peer, message); },
       [this, peer](const absl::Status& status) {
         if (!absl::IsUnavailable(status)) {
           CountBadFrame(status, "tcp");
@@ -290,14 +294,14 @@
         auto out = outgoing_.find(peer.incarnation);
         if (out != outgoing_.end()) {
           closed_.push_back(std::move(out->second.connection));
-          counters_.dropped_messages += out->second.waiting.size();
-          out->second.waiting.clear();
-          out->second.greeted = false;
+          counters_.dropped_messages += out->second.queued.size();
+          out->second.queued.clear();
+          out->second.hello_received = false;
         }
       });
 }
 
-void PeerMesh::OnGreeting(const InstanceId& peer, const PeerMessage& message) {
+void PeerMesh::OnHello(const InstanceId& peer, const PeerMessage& message) {
   const auto* hello = std::get_if<Hello>(&message);
   auto it = outgoing_.find(peer.incarnation);
   if (hello == nullptr || it == outgoing_.end()) {
@@ -308,9 +312,9 @@
                      "its address answers as another incarnation");
     return;
   }
-  it->second.greeted = true;
-  for (const PeerMessage& waiting : std::exchange(it->second.waiting, {})) {
-    it->second.connection->Send(waiting);
+  it->second.hello_received = true;
+  for (const PeerMessage& queued : std::exchange(it->second.queued, {})) {
+    it->second.connection->Send(queued);
   }
 }
 
@@ -337,7 +341,7 @@
                << status.message() << "\"";
 }
 
-void PeerMesh::Reap() {
+void PeerMesh::FreeClosed() {
   closed_.clear();
 }
 
--- a/src/transport/peer_mesh.h
+++ b/src/transport/peer_mesh.h
@@ -25,22 +25,24 @@
 class FrameCodec;
 class PeerConnection;
 
-//! Sockets between instances: heartbeats over UDP, all else over TCP on the
-//! same port.
+//! Sockets between instances: heartbeats over UDP, all other messages over TCP
+//! on the same port.
 //!
-//! Each instance dials its peers for what it sends. A process holds its
-//! listener from start to exit, so a refused connection means that the process
-//! at that address has exited. Belongs to the task that made it.
+//! Each instance opens the connections on which it sends to its peers. A
+//! process holds its listener from start to exit, so a refused connection means
+//! that the process at that address has exited. Belongs to the task that
+//! created it.
 class PeerMesh {
  public:
   struct Handler {
-    //! A message of an authenticated peer.
+    //! Called with each message of an authenticated peer.
     std::function<void(uint64_t from, const PeerMessage&)> on_message;
-    //! The address refused a connection while this incarnation was expected.
+    //! Called when the address of this incarnation refuses a connection or
+    //! answers as another incarnation; `why` says which.
     std::function<void(uint64_t incarnation, const std::string& why)> on_exit;
   };
 
-  //! Counts of what went wrong, for metrics.
+  //! Counts of failures and bytes, for metrics.
   struct Counters {
     uint64_t bad_frames = 0;
     uint64_t dropped_messages = 0;
@@ -63,19 +65,21 @@
 
   void SendDatagram(const std::string& address, const PeerMessage& message);
 
-  //! Sends over the connection to the peer, which is dialled first if need be.
-  //! The message may be lost; whoever sends repeats what matters.
+  //! Sends over the connection to the peer, which is opened first if there is
+  //! none. The message may be lost; senders must repeat what has to arrive.
   void Send(const InstanceId& to, const PeerMessage& message);
 
-  //! Dials the peer unless that is done or tried lately, to learn whether its
-  //! process still holds its address.
-  void Check(Millis now, const InstanceId& peer);
+  //! Connects to the peer, to learn whether its process still holds its
+  //! address. Does nothing if a connection exists or was attempted within the
+  //! reconnect interval.
+  void CheckReachable(Millis now, const InstanceId& peer);
 
-  //! Frees closed connections. Call it now and then, not from a callback of
+  //! Frees closed connections. Call it periodically, but not from a callback of
   //! this class.
-  void Reap();
+  void FreeClosed();
 
-  //! Drops all connections of an exited incarnation and what they hold unread.
+  //! Drops all connections of an exited incarnation, with the bytes received on
+  //! them that are not yet processed.
   void Drop(uint64_t incarnation);
 
   const Counters& counters() const { return counters_; }
@@ -89,17 +93,20 @@
   struct Outgoing {
     InstanceId peer;
     std::unique_ptr<PeerConnection> connection;
-    bool dialling = false;
-    bool greeted = false;  //!< The peer's Hello has come.
-    Millis dialled_at;
-    std::vector<PeerMessage> waiting;
+    bool connecting = false;
+    bool hello_received = false;  //!< The peer's Hello was received.
+    Millis last_attempt_at;
+    std::vector<PeerMessage> queued;
   };
 
   void AcceptNext();
-  void OnAccepted(PeerConnection* connection, const PeerMessage& message);
-  void Dial(const InstanceId& peer);
-  void OnDialled(const InstanceId& peer, void* connection, bool refused);
-  void OnGreeting(const InstanceId& peer, const PeerMessage& message);
+  void OnIncomingMessage(PeerConnection* connection,
+                         const PeerMessage& message);
+  void Connect(const InstanceId& peer);
+  void OnConnectFinished(const InstanceId& peer,
+                         void* connection,
+                         bool refused);
+  void OnHello(const InstanceId& peer, const PeerMessage& message);
   void ReadDatagrams();
   void CountBadFrame(const absl::Status& status, const char* where);
 
@@ -116,7 +123,8 @@
   std::list<Incoming> incoming_;
   std::map<uint64_t, Outgoing> outgoing_;  //!< By incarnation.
   std::vector<std::unique_ptr<PeerConnection>> closed_;
-  std::shared_ptr<PeerMesh*> alive_;
+  //! For pending callbacks; points to null once this object is destroyed.
+  std::shared_ptr<PeerMesh*> self_handle_;
 };
 
 }  // namespace tamaracktrail
--- a/src/transport/task.cpp
+++ b/src/transport/task.cpp
@@ -12,20 +12,20 @@
 
 namespace {
 
-using Message = std::function<void()>;
+using Callback = std::function<void()>;
 
 gboolean RunOnce(gpointer data) {
-  (*static_cast<Message*>(data))();
+  (*static_cast<Callback*>(data))();
   return G_SOURCE_REMOVE;
 }
 
-gboolean RunAgain(gpointer data) {
-  (*static_cast<Message*>(data))();
+gboolean RunPeriodically(gpointer data) {
+  (*static_cast<Callback*>(data))();
   return G_SOURCE_CONTINUE;
 }
 
 void Destroy(gpointer data) {
-  delete static_cast<Message*>(data);
+  delete static_cast<Callback*>(data);
 }
 
 }  // namespace
@@ -34,7 +34,7 @@
     : context_(g_main_context_new()), loop_(g_main_loop_new(context_, FALSE)) {}
 
 Task::~Task() {
-  CHECK(!thread_.joinable()) << "a task was destroyed while it runs";
+  CHECK(!thread_.joinable()) << "a running task was destroyed";
   g_main_loop_unref(loop_);
   g_main_context_unref(context_);
 }
@@ -52,33 +52,33 @@
   thread_.join();
 }
 
-void Task::Post(Message message) {
+void Task::Post(Callback callback) {
   GSource* source = g_idle_source_new();
   g_source_set_priority(source, G_PRIORITY_DEFAULT);
-  g_source_set_callback(source, RunOnce, new Message(std::move(message)),
+  g_source_set_callback(source, RunOnce, new Callback(std::move(callback)),
                         Destroy);
   g_source_attach(source, context_);
   g_source_unref(source);
 }
 
-void Task::Run(const Message& message) {
+void Task::PostAndWait(const Callback& callback) {
   std::mutex mutex;
-  std::condition_variable ready;
+  std::condition_variable finished;
   bool done = false;
   Post([&] {
-    message();
+    callback();
     const std::lock_guard<std::mutex> lock(mutex);
     done = true;
-    ready.notify_one();
+    finished.notify_one();
   });
   std::unique_lock<std::mutex> lock(mutex);
-  ready.wait(lock, [&] { return done; });
+  finished.wait(lock, [&] { return done; });
 }
 
-void Task::Every(Millis period, Message tick) {
+void Task::RunEvery(Millis period, Callback callback) {
   GSource* source = g_timeout_source_new(static_cast<guint>(period.count()));
-  g_source_set_callback(source, RunAgain, new Message(std::move(tick)),
-                        Destroy);
+  g_source_set_callback(source, RunPeriodically,
+                        new Callback(std::move(callback)), Destroy);
   g_source_attach(source, context_);
   g_source_unref(source);
 }
--- a/src/transport/task.h
+++ b/src/transport/task.h
@@ -12,7 +12,8 @@
 namespace tamaracktrail {
 
 //! A thread with its own GLib main context. Objects that belong to a task are
-//! made, used and destroyed on it; other threads reach them by Post.
+//! created, used and destroyed on its thread; other threads access them through
+//! Post.
 class Task {
  public:
   Task();
@@ -24,20 +25,20 @@
   //! Starts the thread. Call once.
   void Start();
 
-  //! Ends the thread after the messages that are posted already. Call once,
-  //! from another thread.
+  //! Runs the callbacks that are already posted, then joins the thread. Call
+  //! once, from another thread.
   void Stop();
 
-  //! Runs `message` on the task, in order of posting. Thread-safe.
-  void Post(std::function<void()> message);
+  //! Runs `callback` on the task, in order of posting. Thread-safe.
+  void Post(std::function<void()> callback);
 
-  //! Runs `message` on the task and waits for it. Precondition: called from
-  //! another thread.
-  void Run(const std::function<void()>& message);
+  //! Runs `callback` on the task and blocks until it returns. Precondition:
+  //! called from another thread.
+  void PostAndWait(const std::function<void()>& callback);
 
-  //! Calls `tick` on the task again and again until the task stops. Call it on
-  //! the task.
-  void Every(Millis period, std::function<void()> tick);
+  //! Calls `callback` on the task every `period` until the task stops. Call it
+  //! on the task.
+  void RunEvery(Millis period, std::function<void()> callback);
 
  private:
   GMainContext* context_;
