--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -11,7 +11,7 @@
 
 constexpr int kMaxConnections = 4096;
 
-//! One exchange; lives until its callback has run.
+//! One request and its answer; lives until its callback has run.
 struct Exchange {
   SoupMessage* message = nullptr;
   GCancellable* cancellable = nullptr;
@@ -39,7 +39,7 @@
   static_cast<Exchange*>(data)->sent = true;
 }
 
-absl::Status StatusOf(const Exchange& exchange, const GError& ec) {
+absl::Status ToStatus(const Exchange& exchange, const GError& ec) {
   if (exchange.timed_out) {
     return absl::DeadlineExceededError("timed out");
   }
@@ -56,7 +56,7 @@
   GBytes* bytes =
       soup_session_send_and_read_finish(SOUP_SESSION(session), result, &ec);
   if (bytes == nullptr) {
-    const absl::Status status = StatusOf(*exchange, *ec);
+    const absl::Status status = ToStatus(*exchange, *ec);
     g_error_free(ec);
     exchange->done(status);
     return;
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -13,7 +13,8 @@
 
 namespace tamaracktrail {
 
-//! Sends whole HTTP requests. Belongs to the task that made it.
+//! Sends HTTP requests and collects complete answers. Belongs to the task that
+//! created it.
 class HttpClient {
  public:
   struct Request {
@@ -22,7 +23,7 @@
     std::string body;
     std::string content_type = "application/json";
     std::map<std::string, std::string> headers;
-    Millis timeout{5000};  //!< For the whole exchange.
+    Millis timeout{5000};  //!< For the complete exchange.
   };
 
   using Done = std::function<void(absl::StatusOr<HttpReply>)>;
@@ -35,7 +36,8 @@
 
   //! Calls `done` once, on this task. kUnavailable: no connection;
   //! kDeadlineExceeded: `timeout` passed; kUnknown: failed after bytes were
-  //! sent. Calls in progress when the client is destroyed get kCancelled.
+  //! sent; kInvalidArgument: not a URL (`done` runs before Send returns). Calls
+  //! in progress when the client is destroyed get kCancelled.
   void Send(const Request& request, Done done);
 
   SoupSession* session() { return session_; }
--- a/src/transport/http_log_service.cpp
+++ b/src/transport/http_log_service.cpp
@@ -15,9 +15,9 @@
 using nlohmann::json;
 
 constexpr Millis kAppendTimeout{3000};
-constexpr Millis kReadSlack{3000};
+constexpr Millis kReadTimeoutMargin{3000};
 
-absl::StatusOr<json> JsonOf(const absl::StatusOr<HttpReply>& reply) {
+absl::StatusOr<json> ParseJsonObject(const absl::StatusOr<HttpReply>& reply) {
   if (!reply.ok()) {
     return reply.status();
   }
@@ -31,7 +31,7 @@
   return body;
 }
 
-absl::StatusOr<LogPage> PageOf(const json& body) {
+absl::StatusOr<LogPage> ParsePage(const json& body) {
   LogPage page;
   page.end = body.value("end", uint64_t{1});
   for (const json& it : body.value("records", json::array())) {
@@ -56,7 +56,7 @@
   request.body = json{{"data", absl::Base64Escape(payload)}}.dump();
   request.timeout = kAppendTimeout;
   client_->Send(request, [done = std::move(done)](auto reply) {
-    const absl::StatusOr<json> body = JsonOf(reply);
+    const absl::StatusOr<json> body = ParseJsonObject(reply);
     if (!body.ok()) {
       done(body.status());
       return;
@@ -67,20 +67,20 @@
 
 void HttpLogService::Read(const std::string& stream,
                           uint64_t from,
-                          size_t most,
+                          size_t max_entries,
                           Millis wait,
                           ReadDone done) {
   HttpClient::Request request;
   request.url = absl::StrCat(url_, "/streams/", stream, "/records?from=", from,
-                             "&max=", most, "&wait_ms=", wait.count());
-  request.timeout = wait + kReadSlack;
+                             "&max=", max_entries, "&wait_ms=", wait.count());
+  request.timeout = wait + kReadTimeoutMargin;
   client_->Send(request, [done = std::move(done)](auto reply) {
-    const absl::StatusOr<json> body = JsonOf(reply);
+    const absl::StatusOr<json> body = ParseJsonObject(reply);
     if (!body.ok()) {
       done(body.status());
       return;
     }
-    done(PageOf(*body));
+    done(ParsePage(*body));
   });
 }
 
--- a/src/transport/http_log_service.h
+++ b/src/transport/http_log_service.h
@@ -13,8 +13,7 @@
 //! The platform's log over HTTP and JSON. Belongs to the task of its client.
 class HttpLogService {
  public:
-  //! Precondition: `client` outlives this object. `url` has no slash at its
-  //! end.
+  //! Precondition: `client` outlives this object. `url` has no trailing slash.
   HttpLogService(HttpClient* client, std::string url)
       : client_(client), url_(std::move(url)) {}
 
@@ -23,7 +22,7 @@
               AppendDone done);
   void Read(const std::string& stream,
             uint64_t from,
-            size_t most,
+            size_t max_entries,
             Millis wait,
             ReadDone done);
 
--- a/src/transport/http_platform.cpp
+++ b/src/transport/http_platform.cpp
@@ -13,20 +13,21 @@
 
 constexpr int kTooManyRequests = 429;
 
-absl::StatusOr<json> ArrayOf(const absl::StatusOr<HttpReply>& reply,
-                             const char* name) {
+absl::StatusOr<json> ParseArray(const absl::StatusOr<HttpReply>& reply,
+                                const char* name) {
   if (!reply.ok()) {
     return reply.status();
   }
   if (reply->status == kTooManyRequests) {
-    return absl::ResourceExhaustedError("rate limit");
+    return absl::ResourceExhaustedError("rate limit exceeded");
   }
   if (reply->status != 200) {
     return absl::UnavailableError(absl::StrCat("HTTP ", reply->status));
   }
   const json body = json::parse(reply->body, nullptr, false);
   if (!body.is_object() || !body.contains(name) || !body[name].is_array()) {
-    return absl::DataLossError(absl::StrCat("no array \"", name, "\""));
+    return absl::DataLossError(
+        absl::StrCat("the answer has no array \"", name, "\""));
   }
   return body[name];
 }
@@ -37,7 +38,7 @@
   HttpClient::Request request;
   request.url = url_ + "/instances";
   client_->Send(request, [done = std::move(done)](auto reply) {
-    const absl::StatusOr<json> array = ArrayOf(reply, "instances");
+    const absl::StatusOr<json> array = ParseArray(reply, "instances");
     if (!array.ok()) {
       done(array.status());
       return;
@@ -55,7 +56,7 @@
   HttpClient::Request request;
   request.url = url_ + "/weights";
   client_->Send(request, [done = std::move(done)](auto reply) {
-    const absl::StatusOr<json> array = ArrayOf(reply, "weights");
+    const absl::StatusOr<json> array = ParseArray(reply, "weights");
     if (!array.ok()) {
       done(array.status());
       return;
--- a/src/transport/http_platform.h
+++ b/src/transport/http_platform.h
@@ -33,7 +33,7 @@
   HttpWeightStore(HttpClient* client, std::string url)
       : client_(client), url_(std::move(url)) {}
 
-  //! kResourceExhausted where the store's rate limit refused the call.
+  //! kResourceExhausted if the call exceeds the store's rate limit.
   void List(WeightsDone done);
 
  private:
--- a/src/transport/http_reply.h
+++ b/src/transport/http_reply.h
@@ -5,7 +5,7 @@
 
 namespace tamaracktrail {
 
-//! A whole HTTP answer.
+//! A complete HTTP answer.
 struct HttpReply {
   int status = 0;
   std::string body;
--- a/src/transport/log_service.h
+++ b/src/transport/log_service.h
@@ -13,7 +13,7 @@
 
 namespace tamaracktrail {
 
-//! What a read of a log stream returned.
+//! Result of reading a log stream.
 struct LogPage {
   std::vector<LogEntry> entries;  //!< Ascending, contiguous.
   uint64_t end = 1;               //!< Offset after the stream's last entry.
@@ -22,16 +22,16 @@
 using AppendDone = std::function<void(absl::StatusOr<uint64_t>)>;
 using ReadDone = std::function<void(absl::StatusOr<LogPage>)>;
 
-//! The platform's append-only log. docs/INTERFACES.md states what each call
-//! must promise.
+//! The platform's append-only log. docs/INTERFACES.md states the guarantees of
+//! each call.
 template <class L>
 concept LogService =
     requires(L log, const std::string& text, AppendDone append, ReadDone read) {
   //! Appends one entry and returns its offset. After an error the entry may or
   //! may not be in the stream.
   log.Append(text, text, append);
-  //! Reads from an offset, or from the oldest entry still kept; waits up to
-  //! `wait` for one where there is none yet.
+  //! Reads from an offset, or from the oldest retained entry if that is later.
+  //! If there is no entry yet, waits for one up to the given time.
   log.Read(text, uint64_t{}, size_t{}, Millis(), read);
 };
 
--- a/src/transport/platform_services.h
+++ b/src/transport/platform_services.h
@@ -14,7 +14,7 @@
 struct ListedInstance {
   std::string address;
   std::string data_centre;
-  bool leaving = false;
+  bool draining = false;
 
   friend bool operator==(const ListedInstance&,
                          const ListedInstance&) = default;
@@ -23,8 +23,8 @@
 using ListDone =
     std::function<void(absl::StatusOr<std::vector<ListedInstance>>)>;
 
-//! The platform's list of instances. It may lag, miss instances and name some
-//! that have gone.
+//! The platform's list of instances. It may be out of date, miss instances and
+//! contain instances that have exited.
 template <class L>
 concept InstanceList = requires(L list, ListDone done) {
   list.Fetch(done);
@@ -33,7 +33,8 @@
 using WeightsDone =
     std::function<void(absl::StatusOr<std::vector<std::string>>)>;
 
-//! The platform's weight store: the models, adapters and versions it has.
+//! The platform's weight store: lists the models, adapters and versions that it
+//! holds.
 template <class W>
 concept WeightStore = requires(W store, WeightsDone done) {
   store.List(done);
--- a/tests/transport/log_service_test.cpp
+++ b/tests/transport/log_service_test.cpp
@@ -15,7 +15,7 @@
 namespace tamaracktrail {
 namespace {
 
-//! The fake log as a model of the interface.
+//! Adapts the fake log to the LogService interface.
 class FakeLogService {
  public:
   void Append(const std::string& stream,
@@ -25,18 +25,18 @@
   }
   void Read(const std::string& stream,
             uint64_t from,
-            size_t most,
+            size_t max_entries,
             Millis,
             ReadDone done) {
-    done(LogPage{log_.Read(stream, from, most), log_.End(stream)});
+    done(LogPage{log_.Read(stream, from, max_entries), log_.End(stream)});
   }
-  void Keep(size_t n) { log_.set_keep(n); }
+  void SetRetention(size_t n) { log_.set_keep(n); }
 
  private:
   FakeLog log_;
 };
 
-//! The HTTP client against the stand-in.
+//! HttpLogService with a stand-in server.
 class HttpLogUnderTest {
  public:
   HttpLogUnderTest()
@@ -50,12 +50,12 @@
   }
   void Read(const std::string& stream,
             uint64_t from,
-            size_t most,
+            size_t max_entries,
             Millis wait,
             ReadDone done) {
-    service_.Read(stream, from, most, wait, std::move(done));
+    service_.Read(stream, from, max_entries, wait, std::move(done));
   }
-  void Keep(size_t n) { server_.Control({{"keep", n}}); }
+  void SetRetention(size_t n) { server_.Control({{"keep", n}}); }
   StandInLog& server() { return server_; }
 
  private:
@@ -80,10 +80,11 @@
   }
 
   absl::StatusOr<LogPage> Read(uint64_t from,
-                               size_t most = 100,
+                               size_t max_entries = 100,
                                Millis wait = Millis()) {
     std::optional<absl::StatusOr<LogPage>> result;
-    log_.Read("s", from, most, wait, [&](auto it) { result = std::move(it); });
+    log_.Read("s", from, max_entries, wait,
+              [&](auto it) { result = std::move(it); });
     while (!result.has_value()) {
       g_main_context_iteration(nullptr, TRUE);
     }
@@ -101,7 +102,7 @@
   EXPECT_EQ(this->Append("b").value(), 2u);
 }
 
-TYPED_TEST(LogServiceTest, PayloadsComeBackByteForByteInOrder) {
+TYPED_TEST(LogServiceTest, ReadReturnsPayloadsUnchangedAndInOrder) {
   std::string payload;
   for (int i = 0; i < 256; ++i) {
     payload.push_back(static_cast<char>(i));
@@ -115,21 +116,21 @@
   EXPECT_EQ(page.end, 3u);
 }
 
-TYPED_TEST(LogServiceTest, ReadBeyondTheEndIsEmpty) {
+TYPED_TEST(LogServiceTest, ReadAtTheEndIsEmpty) {
   const LogPage page = this->Read(1).value();
   EXPECT_TRUE(page.entries.empty());
   EXPECT_EQ(page.end, 1u);
 }
 
-TYPED_TEST(LogServiceTest, ReadReturnsAtMostWhatIsAskedFor) {
+TYPED_TEST(LogServiceTest, ReadReturnsAtMostMaxEntries) {
   for (int i = 0; i < 5; ++i) {
     this->Append("x").value();
   }
   EXPECT_EQ(this->Read(2, 3).value().entries.size(), 3u);
 }
 
-TYPED_TEST(LogServiceTest, ForgottenOffsetsStartAtTheOldestKept) {
-  this->log_.Keep(2);
+TYPED_TEST(LogServiceTest, ReadOfDiscardedOffsetStartsAtOldestRetainedEntry) {
+  this->log_.SetRetention(2);
   for (int i = 0; i < 5; ++i) {
     this->Append("x").value();
   }
@@ -140,7 +141,7 @@
 
 class HttpLogTest : public LogServiceTest<HttpLogUnderTest> {};
 
-TEST_F(HttpLogTest, OutageIsAnErrorAndHasNoEffect) {
+TEST_F(HttpLogTest, CallDuringOutageFailsWithoutEffect) {
   log_.server().Control({{"outage", true}});
   EXPECT_FALSE(Append("a").ok());
   EXPECT_FALSE(Read(1).ok());
@@ -148,13 +149,13 @@
   EXPECT_TRUE(Read(1).value().entries.empty());
 }
 
-TEST_F(HttpLogTest, LostAnswerIsAnErrorAndTheEntryIsThere) {
+TEST_F(HttpLogTest, AppendWithLostAnswerFailsButEntryIsStored) {
   log_.server().Control({{"lose_answers", 1}});
   EXPECT_FALSE(Append("a").ok());
   EXPECT_EQ(Read(1).value().entries.size(), 1u);
 }
 
-TEST_F(HttpLogTest, WaitingReadIsAnsweredByTheNextAppend) {
+TEST_F(HttpLogTest, WaitingReadReturnsAfterNextAppend) {
   std::optional<absl::StatusOr<LogPage>> page;
   log_.Read("s", 1, 10, kMinute, [&](auto it) { page = std::move(it); });
   log_.Append("s", "a", [](auto) {});
@@ -164,7 +165,7 @@
   EXPECT_EQ(page->value().entries.size(), 1u);
 }
 
-TEST(PlatformTest, ListLagsAndWeightStoreLimitsItsRate) {
+TEST(PlatformTest, FetchesInstancesAndReportsWeightStoreRateLimit) {
   StandInList list;
   StandInWeights weights;
   HttpClient client;
@@ -176,12 +177,12 @@
                    {"data_centre", "dc"},
                    {"leaving", true}}}}});
   weights.Control({{"weights", {"m1"}}, {"per_minute", 1}});
-  std::vector<ListedInstance> seen;
-  while (seen.empty()) {
-    instances.Fetch([&](auto it) { seen = it.value(); });
+  std::vector<ListedInstance> listed;
+  while (listed.empty()) {
+    instances.Fetch([&](auto it) { listed = it.value(); });
     g_main_context_iteration(nullptr, TRUE);
   }
-  EXPECT_EQ(seen[0], (ListedInstance{"10.0.0.1:7", "dc", true}));
+  EXPECT_EQ(listed[0], (ListedInstance{"10.0.0.1:7", "dc", true}));
   std::vector<absl::Status> results;
   for (int i = 0; i < 2; ++i) {
     store.List([&](auto it) { results.push_back(it.status()); });
