--- a/src/state/abandon.h
+++ b/src/state/abandon.h
@@ -8,8 +8,8 @@
 
 namespace tamaracktrail {
 
-//! States that an attempt's claim is void because it was never dispatched
-//! and never will be.
+//! Withdraws the run claim of an attempt that was never dispatched and never
+//! will be. It holds whether it comes before or after the claim.
 struct Abandon {
   std::string organisation;
   std::string key;
--- a/src/state/acquit.h
+++ b/src/state/acquit.h
@@ -8,12 +8,12 @@
 
 namespace tamaracktrail {
 
-//! The repeat that a trial allowed has ended without a crash: another may be
-//! tried. Where it ended well, the content's crashes are forgotten.
+//! The attempt that a trial allowed has ended without a crash, so that another
+//! trial may be claimed. If it succeeded, the content's crashes are forgotten.
 struct Acquit {
   std::string content;
   uint64_t attempt = 0;
-  //! Its answer was delivered whole.
+  //! Whether the complete answer was delivered.
   bool well = false;
 
   friend bool operator==(const Acquit&, const Acquit&) = default;
--- a/src/state/charge.h
+++ b/src/state/charge.h
@@ -8,15 +8,15 @@
 
 namespace tamaracktrail {
 
-//! Bills one delivered answer. The first charge of a request key counts; a
-//! later one is void.
+//! Bills one delivered answer. Only the first charge of a request key counts;
+//! a later one is void, unless the first one is voided.
 struct Charge {
   std::string organisation;
   //! The request key.
   std::string key;
-  //! Whose share pays.
+  //! Holder of the share that is charged.
   uint64_t holder = 0;
-  //! Incarnation that served the caller.
+  //! Incarnation of the instance that served the caller.
   uint64_t entry = 0;
   //! Attempt whose answer was delivered.
   uint64_t attempt = 0;
@@ -24,7 +24,7 @@
   std::string endpoint;
   int64_t prompt_tokens = 0;
   int64_t completion_tokens = 0;
-  //! What is billed.
+  //! Tokens billed.
   int64_t tokens = 0;
   uint64_t config_version = 0;
 
--- a/src/state/claim.h
+++ b/src/state/claim.h
@@ -8,7 +8,7 @@
 
 namespace tamaracktrail {
 
-//! Claims the only run of a non-repeatable request. The first claim wins.
+//! Claims the single run of a non-repeatable request. The first claim wins.
 struct Claim {
   std::string organisation;
   std::string key;
--- a/src/state/config_file.h
+++ b/src/state/config_file.h
@@ -7,7 +7,7 @@
 
 namespace tamaracktrail {
 
-//! One declaration file of a configuration.
+//! A declaration file of a configuration.
 struct ConfigFile {
   //! Path relative to the published folder.
   std::string path;
--- a/src/state/configuration.h
+++ b/src/state/configuration.h
@@ -12,11 +12,12 @@
 
 namespace tamaracktrail {
 
-//! A published set of declarations. Accepted only on the base it names.
+//! A published set of declarations. Accepted only if `base` is the version in
+//! force (optimistic concurrency control).
 struct Configuration {
-  //! Version the publisher started from; 0 for none.
+  //! Version that the publisher's changes are based on; 0 for none.
   uint64_t base = 0;
-  //! Makes a repeated append recognizable.
+  //! Identifies repeated appends of the same configuration.
   std::string id;
   std::string author;
   std::vector<ConfigFile> files;
--- a/src/state/crash.h
+++ b/src/state/crash.h
@@ -8,7 +8,7 @@
 
 namespace tamaracktrail {
 
-//! An endpoint that was lost while it ran a request.
+//! States that an endpoint crashed while it ran a request.
 struct Crash {
   //! Hash of the request's content.
   std::string content;
--- a/src/state/draw.h
+++ b/src/state/draw.h
@@ -8,11 +8,11 @@
 
 namespace tamaracktrail {
 
-//! Moves undrawn tokens of a budget into a holder's share.
+//! Moves tokens from the undrawn part of a budget to a holder's share.
 struct Draw {
   std::string organisation;
   uint64_t holder = 0;
-  //! Tokens asked for; the fold grants at most what is undrawn.
+  //! Tokens requested; the fold grants at most the undrawn ones.
   int64_t tokens = 0;
 
   friend bool operator==(const Draw&, const Draw&) = default;
--- a/src/state/exit.h
+++ b/src/state/exit.h
@@ -8,7 +8,7 @@
 
 namespace tamaracktrail {
 
-//! An incarnation that has ended, with the evidence for it.
+//! States that an incarnation has exited, with the evidence for it.
 struct Exit {
   uint64_t incarnation = 0;
   std::string evidence;
--- a/src/state/fence.h
+++ b/src/state/fence.h
@@ -5,9 +5,9 @@
 
 namespace tamaracktrail {
 
-//! From here on only the holder's own charges count for requests of an exited
-//! entry under the holder's share: appends that are still on their way are
-//! void.
+//! Fences an exited entry under a holder's share: from this offset on, only
+//! charges that the holder itself appends count for the entry's requests.
+//! Pending appends of other writers become void.
 struct Fence {
   uint64_t holder = 0;
   uint64_t entry = 0;
--- a/src/state/instance_id.h
+++ b/src/state/instance_id.h
@@ -8,8 +8,8 @@
 
 namespace tamaracktrail {
 
-//! Names one process: the address it binds and the incarnation it drew at
-//! start. An incarnation is never reused.
+//! Identifies one process by the address it binds and the random incarnation
+//! that it chose at its start. An incarnation is never reused.
 struct InstanceId {
   //! "IP:port" of the UDP and TCP peer listener.
   std::string address;
--- a/src/state/join.h
+++ b/src/state/join.h
@@ -8,7 +8,7 @@
 
 namespace tamaracktrail {
 
-//! An incarnation that starts to serve.
+//! States that an incarnation starts serving.
 struct Join {
   uint64_t incarnation = 0;
   std::string address;
--- a/src/state/kept_share.h
+++ b/src/state/kept_share.h
@@ -8,8 +8,8 @@
 
 namespace tamaracktrail {
 
-//! Tokens that stay with a holder after its release, because an attempt under
-//! its reservation is still accounted for.
+//! Tokens that stay in a holder's share after its release, because an
+//! instance still accounts for an attempt that they were reserved for.
 struct KeptShare {
   std::string organisation;
   uint64_t attempt = 0;
--- a/src/state/order.h
+++ b/src/state/order.h
@@ -8,14 +8,14 @@
 
 namespace tamaracktrail {
 
-//! An order to an endpoint, recorded before it is sent.
+//! A placement order to an endpoint, recorded before it is sent.
 struct Order {
   std::string data_centre;
   uint64_t fencing_number = 0;
   std::string endpoint;
   //! "load", "unload" or "role".
   std::string action;
-  //! Model, adapter, version or role.
+  //! Model, adapter, version or role that the action applies to.
   std::string target;
 
   friend bool operator==(const Order&, const Order&) = default;
--- a/src/state/outcome.h
+++ b/src/state/outcome.h
@@ -8,14 +8,14 @@
 
 namespace tamaracktrail {
 
-//! Known result of a claimed run.
+//! Result of a claimed run, once it is known.
 struct Outcome {
   std::string organisation;
   std::string key;
   uint64_t attempt = 0;
   std::string endpoint;
   int32_t http_status = 0;
-  //! Numbered result code.
+  //! Numeric result code.
   int32_t code = 0;
 
   friend bool operator==(const Outcome&, const Outcome&) = default;
--- a/src/state/record.h
+++ b/src/state/record.h
@@ -29,8 +29,8 @@
 
 namespace tamaracktrail {
 
-//! One fact on a log stream. The order of the alternatives is part of the
-//! stored format: append new ones at the end.
+//! One record of a log stream. The order of the alternatives is part of the
+//! stored format, so new ones have to be added at the end.
 using Record = std::variant<TopUp,
                             Draw,
                             Return,
--- a/src/state/refusal.h
+++ b/src/state/refusal.h
@@ -14,7 +14,7 @@
   std::string key;
   uint64_t entry = 0;
   std::string service;
-  //! Numbered result code.
+  //! Numeric result code.
   int32_t code = 0;
   std::string reason;
   uint64_t config_version = 0;
--- a/src/state/release.h
+++ b/src/state/release.h
@@ -12,12 +12,12 @@
 
 namespace tamaracktrail {
 
-//! Returns the share of an exited holder, but for tokens that instances
-//! still account for.
+//! Returns the shares of an exited holder to the undrawn part, except for the
+//! tokens that other instances still account for.
 struct Release {
   uint64_t holder = 0;
   std::string evidence;
-  std::vector<KeptShare> kept;
+  std::vector<KeptShare> kept;  //!< Tokens that stay in the holder's shares.
 
   friend bool operator==(const Release&, const Release&) = default;
 
--- a/src/state/return.h
+++ b/src/state/return.h
@@ -8,7 +8,7 @@
 
 namespace tamaracktrail {
 
-//! Moves tokens from a holder's share back to the undrawn part.
+//! Moves tokens from a holder's share back to the undrawn part of the budget.
 struct Return {
   std::string organisation;
   uint64_t holder = 0;
--- a/src/state/run.h
+++ b/src/state/run.h
@@ -8,7 +8,7 @@
 
 namespace tamaracktrail {
 
-//! One attempt at an endpoint that ended without a charge.
+//! An attempt at an endpoint that ended without a charge.
 struct Run {
   std::string organisation;
   std::string key;
@@ -16,7 +16,7 @@
   uint64_t entry = 0;
   std::string service;
   std::string endpoint;
-  //! Numbered result code.
+  //! Numeric result code.
   int32_t code = 0;
   uint64_t config_version = 0;
 
--- a/src/state/term.h
+++ b/src/state/term.h
@@ -8,8 +8,8 @@
 
 namespace tamaracktrail {
 
-//! Makes an incarnation the placer of its data centre. The offset is the
-//! fencing number.
+//! Makes an incarnation the placer of its data centre. The offset of the record
+//! is the fencing number of the term.
 struct Term {
   std::string data_centre;
   uint64_t holder = 0;
--- a/src/state/top_up.h
+++ b/src/state/top_up.h
@@ -8,7 +8,8 @@
 
 namespace tamaracktrail {
 
-//! Adds prepaid tokens to an organisation's budget. Idempotent by id.
+//! Adds prepaid tokens to an organisation's budget. Idempotent: a second top-up
+//! with the same id has no effect.
 struct TopUp {
   std::string organisation;
   std::string id;
--- a/src/state/trial.h
+++ b/src/state/trial.h
@@ -8,7 +8,8 @@
 
 namespace tamaracktrail {
 
-//! Claims the one repeat of a request that has crashed an endpoint.
+//! Claims the single further attempt at content that has crashed an endpoint.
+//! The first claim wins.
 struct Trial {
   std::string content;
   uint64_t attempt = 0;
--- a/src/state/void.h
+++ b/src/state/void.h
@@ -8,8 +8,8 @@
 
 namespace tamaracktrail {
 
-//! Voids the charge of an attempt whose answer was withheld. It holds whether
-//! it comes before or after the charge.
+//! Voids the charge of an attempt whose answer was withheld. It takes effect
+//! whether it comes before or after the charge.
 struct Void {
   std::string organisation;
   std::string key;
--- a/src/state/want.h
+++ b/src/state/want.h
@@ -8,11 +8,12 @@
 
 namespace tamaracktrail {
 
-//! Tells other keepers that a holder is short of tokens of a budget.
+//! Asks other keepers for tokens of a budget, of which the holder has too few
+//! for its waiting requests.
 struct Want {
   std::string organisation;
   uint64_t holder = 0;
-  int64_t tokens = 0;
+  int64_t tokens = 0;  //!< Tokens that are missing.
 
   friend bool operator==(const Want&, const Want&) = default;
 
