--- a/src/state/applied_batch.h
+++ b/src/state/applied_batch.h
@@ -9,7 +9,8 @@
 
 namespace tamaracktrail {
 
-//! A batch that a stream view has folded, with a verdict for each record.
+//! A batch that a stream view has applied to its fold, with one verdict per
+//! record.
 struct AppliedBatch {
   uint64_t offset = 0;
   Batch batch;
--- a/src/state/batch.h
+++ b/src/state/batch.h
@@ -10,15 +10,16 @@
 
 namespace tamaracktrail {
 
-//! The unit of one append: records of one writer on one stream.
+//! Unit of append: records of one writer on one stream.
 //!
-//! The pair (writer, sequence) makes a repeated append recognizable, and
-//! `previous` chains each batch to the writer's one before.
+//! The pair (writer, sequence) identifies a repeated append, and `previous`
+//! links each batch to the writer's preceding one in a hash chain.
 struct Batch {
   uint64_t writer = 0;    //!< Incarnation of the writer.
-  uint64_t sequence = 0;  //!< From 1, without gaps.
-  std::string previous;   //!< Digest of the batch before; empty for the first.
-  Millis wall;            //!< Wall clock of the writer, for people.
+  uint64_t sequence = 0;  //!< Starts at 1, without gaps.
+  //! Digest of the preceding batch; empty for the first.
+  std::string previous;
+  Millis wall;  //!< Wall-clock time of the writer; advances the fold clock.
   std::vector<Record> records;
 
   friend bool operator==(const Batch&, const Batch&) = default;
--- a/src/state/batch_codec.cpp
+++ b/src/state/batch_codec.cpp
@@ -38,12 +38,13 @@
 
 absl::StatusOr<Batch> BatchCodec::Decode(const std::string& payload) const {
   if (payload.size() <= kTagBytes) {
-    return absl::DataLossError("batch is shorter than its tag");
+    return absl::DataLossError(
+        "batch payload has no bytes after its 32-byte tag");
   }
   const std::string tag = payload.substr(0, kTagBytes);
   const std::string body = payload.substr(kTagBytes);
   if (!DigestsEqual(tag, HmacSha256(key_, body))) {
-    return absl::UnauthenticatedError("batch has a wrong tag");
+    return absl::UnauthenticatedError("batch tag does not match the fleet key");
   }
   try {
     std::istringstream in(body);
@@ -52,7 +53,7 @@
     archive(batch);
     return batch;
   } catch (const std::exception&) {
-    return absl::DataLossError("batch does not decode");
+    return absl::DataLossError("batch body does not decode");
   }
 }
 
--- a/src/state/batch_codec.h
+++ b/src/state/batch_codec.h
@@ -9,23 +9,23 @@
 
 struct Batch;
 
-//! Turns batches into authenticated log payloads and back.
+//! Encodes batches as authenticated log payloads and decodes them.
 //!
-//! A payload is a 32-byte HMAC followed by the encoded batch. Thread-safe: it
-//! is immutable after construction.
+//! A payload is a 32-byte HMAC-SHA-256 tag followed by the encoded batch.
+//! Thread-safe, since it is immutable after construction.
 class BatchCodec {
  public:
   //! Precondition: `key` is the fleet's shared key and not empty.
   explicit BatchCodec(std::string key);
 
-  //! Never fails. Returns raw bytes.
+  //! Returns the payload as raw bytes. Never fails.
   std::string Encode(const Batch& batch) const;
 
-  //! kUnauthenticated where the tag is wrong, kDataLoss where the bytes do not
-  //! hold one batch.
+  //! Returns kUnauthenticated if the tag does not match, and kDataLoss if the
+  //! payload is too short or its body does not decode as a batch.
   absl::StatusOr<Batch> Decode(const std::string& payload) const;
 
-  //! Digest that the writer's next batch names as `previous`.
+  //! Digest of a payload that the writer's next batch carries as `previous`.
   static std::string ChainDigest(const std::string& payload);
 
  private:
--- a/src/state/control_snapshot.h
+++ b/src/state/control_snapshot.h
@@ -10,6 +10,7 @@
 
 //! Serialized control fold that covers all records before an offset.
 struct ControlSnapshot {
+  //! First offset that the snapshot does not cover.
   uint64_t next_offset = 0;
   std::string state;
 
--- a/src/state/fold_clock.h
+++ b/src/state/fold_clock.h
@@ -5,18 +5,18 @@
 
 namespace tamaracktrail {
 
-//! Time of a stream, derived from the wall clocks in its batches alone, so that
-//! all readers agree on it.
+//! Time of a stream, derived only from the wall-clock times in its batches, so
+//! that all readers agree on it.
 //!
-//! It never runs backwards, and one writer with a wrong clock moves it by at
-//! most kMaxStep a batch.
+//! It starts at the time of the first batch and never runs backwards. After
+//! that, a writer with a wrong clock advances it by at most kMaxStep per batch.
 class FoldClock {
  public:
   static constexpr Millis kMaxStep = kMinute;
 
   Millis now() const { return now_; }
 
-  //! Takes in the wall clock of the next batch.
+  //! Applies the wall-clock time of the next batch.
   void Advance(Millis wall);
 
   friend bool operator==(const FoldClock&, const FoldClock&) = default;
--- a/src/state/fold_context.h
+++ b/src/state/fold_context.h
@@ -7,11 +7,12 @@
 
 namespace tamaracktrail {
 
-//! Where a record stands: what a fold may use besides the record itself.
+//! Position and origin of a record: all that a fold may use besides the record
+//! itself.
 struct FoldContext {
   uint64_t offset = 0;
   uint64_t writer = 0;
-  Millis wall;  //!< Wall clock of the batch.
+  Millis wall;  //!< Wall-clock time of the batch.
 
   friend bool operator==(const FoldContext&, const FoldContext&) = default;
 };
--- a/src/state/log_entry.h
+++ b/src/state/log_entry.h
@@ -6,8 +6,8 @@
 
 namespace tamaracktrail {
 
-//! One entry of a log stream. Offsets of a stream are contiguous and start
-//! at 1.
+//! An entry of a log stream. The offsets of a stream start at 1 and are
+//! contiguous.
 struct LogEntry {
   uint64_t offset = 0;
   std::string payload;  //!< Raw bytes of one encoded batch.
--- a/src/state/millis.h
+++ b/src/state/millis.h
@@ -8,8 +8,8 @@
 
 //! A time or a duration in milliseconds.
 //!
-//! State machines receive it as an argument and never read a clock. Thread
-//! safety: a value type.
+//! State machines receive the time as an argument and never read a clock, which
+//! keeps them deterministic. Value type without shared state.
 class Millis {
  public:
   constexpr Millis() = default;
@@ -28,7 +28,7 @@
     return Millis(a.count_ * n);
   }
 
-  //! This times `factor`, cut to whole milliseconds.
+  //! Returns this value times `factor`, truncated to whole milliseconds.
   constexpr Millis Scaled(double factor) const {
     return Millis(static_cast<int64_t>(static_cast<double>(count_) * factor));
   }
--- a/src/state/request_key.cpp
+++ b/src/state/request_key.cpp
@@ -35,18 +35,19 @@
     return std::nullopt;
   }
   const std::string digits = key.substr(0, 8) + key.substr(9, 4);
-  int64_t count = 0;
-  std::from_chars(digits.data(), digits.data() + digits.size(), count, 16);
-  return Millis(count);
+  int64_t unix_ms = 0;
+  std::from_chars(digits.data(), digits.data() + digits.size(), unix_ms, 16);
+  return Millis(unix_ms);
 }
 
 std::string MakeRequestKey(Millis wall, const std::string& random) {
   CHECK_GE(random.size(), kRandomBytes);
-  const std::string time = Hex(static_cast<uint64_t>(wall.count())).substr(4);
-  const std::string tail = Hex(random.substr(0, kRandomBytes));
-  return time.substr(0, 8) + "-" + time.substr(8, 4) + "-7" +
-         tail.substr(0, 3) + "-8" + tail.substr(3, 3) + "-" +
-         tail.substr(6, 12);
+  const std::string time_hex =
+      Hex(static_cast<uint64_t>(wall.count())).substr(4);
+  const std::string random_hex = Hex(random.substr(0, kRandomBytes));
+  return time_hex.substr(0, 8) + "-" + time_hex.substr(8, 4) + "-7" +
+         random_hex.substr(0, 3) + "-8" + random_hex.substr(3, 3) + "-" +
+         random_hex.substr(6, 12);
 }
 
 }  // namespace tamaracktrail
--- a/src/state/request_key.h
+++ b/src/state/request_key.h
@@ -8,11 +8,12 @@
 
 namespace tamaracktrail {
 
-//! Wall-clock time a UUIDv7 request key carries; nullopt for any other key.
-//! Thread-safe.
+//! Returns the wall-clock time in a UUIDv7 request key; nullopt for any other
+//! key. Thread-safe.
 std::optional<Millis> RequestKeyTime(const std::string& key);
 
-//! A UUIDv7 for a caller that sent no key. `random` is 16 random bytes or more.
+//! Makes a UUIDv7 for a caller that sent no request key.
+//! Precondition: `random` holds at least 16 random bytes.
 std::string MakeRequestKey(Millis wall, const std::string& random);
 
 }  // namespace tamaracktrail
--- a/src/state/stream_view.h
+++ b/src/state/stream_view.h
@@ -20,7 +20,8 @@
 
 namespace tamaracktrail {
 
-//! A pure function of the records of one stream.
+//! State machine whose state depends only on the records of one stream and
+//! their contexts.
 template <class F>
 concept FoldModel = requires(F fold,
                              const Record& record,
@@ -30,9 +31,9 @@
   fold.Trim();
 };
 
-//! Reads one stream into a fold: checks tags and chains, ignores repeated
-//! appends, and starts from a snapshot where the log no longer has the
-//! beginning. Not thread-safe.
+//! Applies the entries of one stream to a fold. Checks tags and hash chains,
+//! ignores repeated appends, and starts from a snapshot if the log no longer
+//! has the first entries. Not thread-safe.
 template <FoldModel Fold>
 class StreamView {
  public:
@@ -43,23 +44,28 @@
   const Fold& fold() const { return fold_; }
   const WriterChains& chains() const { return chains_; }
 
-  //! First offset that is not folded yet.
+  //! First offset that is not applied yet.
   uint64_t next_offset() const { return next_offset_; }
 
-  //! Offset to read from: beyond next_offset() while a snapshot is looked for.
+  //! Offset to read from. Beyond next_offset() while the view searches for a
+  //! snapshot.
   uint64_t read_offset() const {
     return pending_.empty() ? next_offset_ : pending_.back().offset + 1;
   }
 
-  //! False while the view looks for a snapshot, so that the fold lags.
+  //! False while the view searches for a snapshot, so that the fold is behind
+  //! the entries that were fed.
   bool live() const { return pending_.empty(); }
 
-  //! Batches dropped for a wrong tag, a broken chain or bad bytes.
-  uint64_t dropped() const { return dropped_; }
-  uint64_t repeats() const { return repeats_; }
+  //! Number of batches dropped because of a wrong tag or a broken hash chain,
+  //! or because they did not decode. Snapshots that do not decode count too.
+  uint64_t dropped() const { return dropped_batches_; }
+  //! Number of repeated appends that were ignored.
+  uint64_t repeats() const { return repeated_batches_; }
 
-  //! Takes in the next entry; entries come in ascending order. Returns the
-  //! batches that it let the view fold.
+  //! Feeds the next entry. Returns the batches that were applied to the fold
+  //! because of it: none while a snapshot is missing, several once it is found.
+  //! Precondition: entries are fed in ascending order of their offsets.
   std::vector<AppliedBatch> Feed(const LogEntry& entry) {
     std::vector<AppliedBatch> applied;
     if (entry.offset < read_offset()) {
@@ -81,11 +87,12 @@
     return applied;
   }
 
-  //! A record that lets other readers start at next_offset().
+  //! Returns a snapshot record from which other readers can start at
+  //! next_offset(). Drops expired state of this view first.
   //! Precondition: live().
   Record MakeSnapshot() {
     fold_.Trim();
-    chains_.ForgetIdle();
+    chains_.EvictIdle();
     std::ostringstream out;
     {
       cereal::PortableBinaryOutputArchive archive(out);
@@ -102,15 +109,15 @@
     next_offset_ = entry.offset + 1;
     absl::StatusOr<Batch> batch = codec_->Decode(entry.payload);
     if (!batch.ok()) {
-      ++dropped_;
+      ++dropped_batches_;
       return;
     }
     switch (chains_.Accept(*batch, BatchCodec::ChainDigest(entry.payload))) {
       case WriterChains::Verdict::kRepeat:
-        ++repeats_;
+        ++repeated_batches_;
         return;
       case WriterChains::Verdict::kBroken:
-        ++dropped_;
+        ++dropped_batches_;
         return;
       case WriterChains::Verdict::kNext:
         break;
@@ -125,7 +132,8 @@
     applied.push_back(std::move(out));
   }
 
-  //! Restores a snapshot in `entry` if the pending entries continue it.
+  //! Restores a snapshot in `entry` if the pending entries reach back to its
+  //! next_offset. Returns whether it did.
   bool RestoreFrom(const LogEntry& entry) {
     const absl::StatusOr<Batch> batch = codec_->Decode(entry.payload);
     if (!batch.ok()) {
@@ -135,14 +143,14 @@
       const auto* snapshot = std::get_if<typename Fold::Snapshot>(&it);
       if (snapshot != nullptr &&
           snapshot->next_offset >= pending_.front().offset &&
-          snapshot->next_offset >= next_offset_ && Load(*snapshot)) {
+          snapshot->next_offset >= next_offset_ && LoadSnapshot(*snapshot)) {
         return true;
       }
     }
     return false;
   }
 
-  bool Load(const typename Fold::Snapshot& snapshot) {
+  bool LoadSnapshot(const typename Fold::Snapshot& snapshot) {
     Fold fold = initial_;
     WriterChains chains;
     try {
@@ -150,7 +158,7 @@
       cereal::PortableBinaryInputArchive archive(in);
       archive(chains, fold);
     } catch (const std::exception&) {
-      ++dropped_;
+      ++dropped_batches_;
       return false;
     }
     fold_ = std::move(fold);
@@ -164,9 +172,9 @@
   Fold fold_;
   WriterChains chains_;
   uint64_t next_offset_ = 1;
-  std::deque<LogEntry> pending_;
-  uint64_t dropped_ = 0;
-  uint64_t repeats_ = 0;
+  std::deque<LogEntry> pending_;  //!< Fed while a snapshot is missing.
+  uint64_t dropped_batches_ = 0;
+  uint64_t repeated_batches_ = 0;
 };
 
 }  // namespace tamaracktrail
--- a/src/state/writer_chains.cpp
+++ b/src/state/writer_chains.cpp
@@ -10,7 +10,7 @@
                                            const std::string& digest) {
   clock_.Advance(batch.wall);
   auto it = heads_.find(batch.writer);
-  const bool expired = it != heads_.end() && TooOld(it->second.seen);
+  const bool expired = it != heads_.end() && TooOld(it->second.last_wall);
   if (expired || TooOld(batch.wall)) {
     return Verdict::kBroken;
   }
@@ -31,9 +31,9 @@
   return it == heads_.end() ? 0 : it->second.sequence;
 }
 
-void WriterChains::ForgetIdle() {
+void WriterChains::EvictIdle() {
   std::erase_if(heads_,
-                [this](const auto& it) { return TooOld(it.second.seen); });
+                [this](const auto& it) { return TooOld(it.second.last_wall); });
 }
 
 }  // namespace tamaracktrail
--- a/src/state/writer_chains.h
+++ b/src/state/writer_chains.h
@@ -15,25 +15,27 @@
 
 struct Batch;
 
-//! Follows the hash chain of each writer of one stream and recognizes repeated
+//! Verifies the hash chain of each writer of one stream and detects repeated
 //! appends. Not thread-safe.
 class WriterChains {
  public:
-  //! A writer that stays silent for longer loses its chain.
+  //! A writer that appends nothing for longer than this loses its chain:
+  //! further batches of it are kBroken.
   static constexpr Millis kWriterWindow = kHour * 24;
 
   enum class Verdict { kNext, kRepeat, kBroken };
 
-  //! Tells whether `batch` is its writer's next one and, if so, takes it in.
-  //! `digest` is the chain digest of its payload.
+  //! Returns whether `batch` continues its writer's chain and, if so, makes it
+  //! the last one of the chain. `digest` is the chain digest of its payload.
   Verdict Accept(const Batch& batch, const std::string& digest);
 
-  //! Sequence of the writer's last accepted batch; 0 for an unknown writer.
+  //! Sequence number of the writer's last accepted batch; 0 for an unknown
+  //! writer.
   uint64_t LastSequence(uint64_t writer) const;
 
-  //! Drops writers whose last batch is older than kWriterWindow. Not
-  //! observable: their chains count as broken from that age on.
-  void ForgetIdle();
+  //! Drops writers whose last batch is older than kWriterWindow. This does not
+  //! change any verdict, since Accept() treats these chains as broken already.
+  void EvictIdle();
 
   size_t size() const { return heads_.size(); }
 
@@ -46,11 +48,11 @@
   struct Head {
     uint64_t sequence = 0;
     std::string digest;
-    Millis seen;
+    Millis last_wall;  //!< Wall-clock time of the last batch.
 
     template <class Archive>
     void serialize(Archive& archive) {
-      archive(sequence, digest, seen);
+      archive(sequence, digest, last_wall);
     }
   };
 
