--- a/src/state/budget.h
+++ b/src/state/budget.h
@@ -10,21 +10,22 @@
 
 //! Balance of one organisation's prepaid budget, in tokens.
 //!
-//! Invariant: undrawn + the sum of the shares + charged == prepaid, and none
+//! Invariant: undrawn + the sum of the shares + charged == prepaid, and no term
 //! is negative.
 struct Budget {
   int64_t prepaid = 0;
   int64_t undrawn = 0;
   int64_t charged = 0;
-  std::map<uint64_t, int64_t> shares;  //!< By holder; no zero entries.
+  std::map<uint64_t, int64_t> shares;  //!< Tokens by holder; no zero entries.
 
   //! Tokens in the share of `holder`.
   int64_t Share(uint64_t holder) const;
 
-  //! Adds `tokens` (which may be negative) to the share of `holder`.
+  //! Adds `tokens`, which may be negative, to the share of `holder`. Stops the
+  //! process if the share would become negative.
   void AddToShare(uint64_t holder, int64_t tokens);
 
-  //! Stops the process if the invariant does not hold.
+  //! Stops the process if the invariant is violated.
   void CheckInvariant() const;
 
   friend bool operator==(const Budget&, const Budget&) = default;
--- a/src/state/control_fold.cpp
+++ b/src/state/control_fold.cpp
@@ -57,13 +57,13 @@
 
 void ControlFold::Trim() {
   std::erase_if(contents_, [this](const auto& it) {
-    return it.second.seen + kCrashWindow < clock_.now();
+    return it.second.last_seen + kCrashWindow < clock_.now();
   });
 }
 
 template <class Archive>
 void ControlFold::serialize(Archive& archive) {
-  archive(clock_, loads_, version_, configuration_, published_, members_,
+  archive(clock_, recent_loads_, version_, configuration_, published_, members_,
           contents_, terms_);
 }
 
@@ -78,7 +78,8 @@
   if (record.base != version_) {
     return FoldVerdict::kLostRace;
   }
-  CHECK_GT(context.offset, version_) << "a configuration would revert";
+  CHECK_GT(context.offset, version_)
+      << "configuration offset is not above the current version";
   version_ = context.offset;
   configuration_ = record;
   published_[record.id] = version_;
@@ -105,8 +106,8 @@
 
 FoldVerdict ControlFold::On(const Crash& record, const FoldContext&) {
   ContentState& state = contents_[record.content];
-  state.seen = clock_.now();
-  // One attempt may crash a second endpoint when it is repeated.
+  state.last_seen = clock_.now();
+  // Hashes the endpoint too, since a repeated attempt may crash a second one.
   const uint64_t run = StableHash(record.endpoint, record.attempt);
   return state.crashed_runs.insert(run).second ? FoldVerdict::kAccepted
                                                : FoldVerdict::kRepeat;
@@ -114,7 +115,7 @@
 
 FoldVerdict ControlFold::On(const Trial& record, const FoldContext&) {
   ContentState& state = contents_[record.content];
-  state.seen = clock_.now();
+  state.last_seen = clock_.now();
   if (state.trial != 0) {
     return state.trial == record.attempt ? FoldVerdict::kRepeat
                                          : FoldVerdict::kLostRace;
@@ -151,12 +152,12 @@
   if (record.action != "load") {
     return FoldVerdict::kAccepted;
   }
-  std::erase_if(loads_,
+  std::erase_if(recent_loads_,
                 [this](Millis it) { return it + kMinute <= clock_.now(); });
-  if (loads_.size() >= loads_per_minute_) {
+  if (recent_loads_.size() >= loads_per_minute_) {
     return FoldVerdict::kExceedsShare;
   }
-  loads_.push_back(clock_.now());
+  recent_loads_.push_back(clock_.now());
   return FoldVerdict::kAccepted;
 }
 
--- a/src/state/control_fold.h
+++ b/src/state/control_fold.h
@@ -16,15 +16,15 @@
 
 namespace tamaracktrail {
 
-//! Configuration, incarnations, crash history and placer terms, folded from the
-//! control stream. Not thread-safe.
+//! State folded from the control stream: configuration, incarnations, crash
+//! history and placer terms. Not thread-safe.
 class ControlFold {
  public:
   using Snapshot = ControlSnapshot;
 
-  //! At most `loads_per_minute` load orders are accepted in a minute of fold
-  //! time, which keeps the whole fleet within the weight store's rate; the
-  //! number must be the same in the whole fleet.
+  //! Accepts at most `loads_per_minute` load orders per minute of fold time,
+  //! which keeps the whole fleet within the rate limit of the weight store. All
+  //! instances of the fleet must use the same value.
   explicit ControlFold(size_t loads_per_minute = 60)
       : loads_per_minute_(loads_per_minute) {}
 
@@ -41,38 +41,42 @@
 
   struct TermState {
     uint64_t holder = 0;
-    uint64_t fencing_number = 0;  //!< Offset of the term's record.
-    Millis since;                 //!< Fold time.
+    uint64_t fencing_number = 0;  //!< Offset of the Term record.
+    Millis started_at;            //!< Fold time.
 
     template <class Archive>
     void serialize(Archive& archive) {
-      archive(holder, fencing_number, since);
+      archive(holder, fencing_number, started_at);
     }
   };
 
-  //! Takes in one record.
+  //! Applies one record.
   FoldVerdict Apply(const Record& record, const FoldContext& context);
 
-  //! Offset of the configuration in force; 0 for none.
+  //! Version of the configuration in force, which is the offset of its record;
+  //! 0 for none.
   uint64_t version() const { return version_; }
   const Configuration& configuration() const { return configuration_; }
 
-  //! Version that publishing under `id` led to, if it was accepted.
+  //! Version of the configuration published under `id`; nullopt if none was
+  //! accepted.
   std::optional<uint64_t> VersionOf(const std::string& id) const;
 
   const std::map<uint64_t, Member>& members() const { return members_; }
 
-  //! Joined and not exited incarnations of a data centre.
+  //! Incarnations of a data centre that have joined and not exited.
   std::vector<uint64_t> LiveIn(const std::string& data_centre) const;
 
-  //! Endpoints lost while they ran this content.
+  //! Number of recorded endpoint crashes during runs of this content.
   size_t CrashCount(const std::string& content) const;
 
-  //! Attempt that may run this content once more after its first crash.
+  //! Attempt that holds the trial of this content, which allows one more run
+  //! after the first crash; nullopt for none.
   std::optional<uint64_t> TrialOf(const std::string& content) const;
 
   std::optional<TermState> TermOf(const std::string& data_centre) const;
 
+  //! Drops contents with no crash or trial within kCrashWindow.
   void Trim();
 
   template <class Archive>
@@ -82,13 +86,13 @@
 
  private:
   struct ContentState {
-    std::set<uint64_t> crashed_runs;
-    uint64_t trial = 0;
-    Millis seen;
+    std::set<uint64_t> crashed_runs;  //!< Hashes of attempt and endpoint.
+    uint64_t trial = 0;               //!< Attempt on trial; 0 for none.
+    Millis last_seen;                 //!< Fold time of the last crash or trial.
 
     template <class Archive>
     void serialize(Archive& archive) {
-      archive(crashed_runs, trial, seen);
+      archive(crashed_runs, trial, last_seen);
     }
   };
 
@@ -105,13 +109,14 @@
 
   size_t loads_per_minute_;
   FoldClock clock_;
-  std::vector<Millis> loads_;  //!< Accepted in the last minute.
+  std::vector<Millis> recent_loads_;  //!< Fold times of accepted load orders;
+                                      //!< older than a minute are dropped.
   uint64_t version_ = 0;
   Configuration configuration_;
-  std::map<std::string, uint64_t> published_;
-  std::map<uint64_t, Member> members_;
+  std::map<std::string, uint64_t> published_;  //!< Versions by id.
+  std::map<uint64_t, Member> members_;         //!< By incarnation.
   std::map<std::string, ContentState> contents_;
-  std::map<std::string, TermState> terms_;
+  std::map<std::string, TermState> terms_;  //!< By data centre.
 };
 
 }  // namespace tamaracktrail
--- a/src/state/ledger_fold.cpp
+++ b/src/state/ledger_fold.cpp
@@ -71,11 +71,11 @@
 
 void LedgerFold::Trim() {
   std::erase_if(keys_, [this](const auto& it) { return Expired(it.second); });
-  const auto old = [this](const auto& it) {
+  const auto is_expired = [this](const auto& it) {
     return it.second + key_window_ < now();
   };
-  std::erase_if(abandoned_attempts_, old);
-  std::erase_if(voided_attempts_, old);
+  std::erase_if(abandoned_attempts_, is_expired);
+  std::erase_if(voided_attempts_, is_expired);
 }
 
 template <class Archive>
@@ -118,8 +118,8 @@
 }
 
 FoldVerdict LedgerFold::On(const Return& record, const FoldContext& context) {
-  // What an exited holder still has is accounted for by others, so its own
-  // late return must not take it.
+  // Other instances account for the tokens that a released holder still has,
+  // so a late return by the holder itself must not remove them.
   if (exited_.contains(record.holder) && context.writer == record.holder) {
     return FoldVerdict::kHolderExited;
   }
@@ -147,13 +147,13 @@
   if (voided_attempts_.contains(record.attempt)) {
     return FoldVerdict::kLostRace;
   }
-  if (!Stands(record, context)) {
+  if (!IsValid(record, context)) {
     return FoldVerdict::kHolderExited;
   }
   if (state.phase == KeyState::Phase::kCharged) {
-    if (state.attempt != record.attempt && state.rival_attempt == 0) {
-      keys_[id].rival_attempt = record.attempt;
-      keys_[id].rival_tokens = record.tokens;
+    if (state.attempt != record.attempt && state.fallback_attempt == 0) {
+      keys_[id].fallback_attempt = record.attempt;
+      keys_[id].fallback_tokens = record.tokens;
     }
     return FoldVerdict::kRepeat;
   }
@@ -174,7 +174,7 @@
   state.phase = KeyState::Phase::kCharged;
   state.attempt = record.attempt;
   state.tokens = record.tokens;
-  state.seen = now();
+  state.last_seen = now();
   keys_[id] = state;
   return FoldVerdict::kAccepted;
 }
@@ -191,9 +191,9 @@
   }
   state.phase = KeyState::Phase::kClaimed;
   state.attempt = record.attempt;
-  state.claimed = true;
-  state.carried = !RequestKeyTime(record.key).has_value();
-  state.seen = now();
+  state.non_repeatable = true;
+  state.never_expires = !RequestKeyTime(record.key).has_value();
+  state.last_seen = now();
   keys_[id] = state;
   return FoldVerdict::kAccepted;
 }
@@ -219,7 +219,7 @@
   }
   state.phase = KeyState::Phase::kDone;
   state.code = record.code;
-  state.seen = now();
+  state.last_seen = now();
   keys_[id] = state;
   return FoldVerdict::kAccepted;
 }
@@ -257,8 +257,8 @@
   return first ? FoldVerdict::kAccepted : FoldVerdict::kRepeat;
 }
 
-bool LedgerFold::Stands(const Charge& record,
-                        const FoldContext& context) const {
+bool LedgerFold::IsValid(const Charge& record,
+                         const FoldContext& context) const {
   if (auto it = exited_.find(record.holder); it != exited_.end()) {
     auto kept = it->second.find(record.attempt);
     return kept != it->second.end() && record.tokens <= kept->second;
@@ -273,8 +273,8 @@
   }
   const KeyId id = IdOf(record.organisation, record.key);
   KeyState state = Lookup(id);
-  if (state.rival_attempt == record.attempt) {
-    keys_[id].rival_attempt = 0;
+  if (state.fallback_attempt == record.attempt) {
+    keys_[id].fallback_attempt = 0;
     return FoldVerdict::kAccepted;
   }
   if (state.phase != KeyState::Phase::kCharged ||
@@ -284,14 +284,15 @@
   Budget& budget = budgets_[record.organisation];
   budget.charged -= state.tokens;
   budget.undrawn += state.tokens;
-  if (state.rival_attempt != 0) {
-    // Its holder took the tokens back, so the undrawn part pays.
-    state.attempt = std::exchange(state.rival_attempt, 0);
-    state.tokens = std::min(state.rival_tokens, budget.undrawn);
+  if (state.fallback_attempt != 0) {
+    // The holder of the second charge has taken the tokens back into its
+    // share, so the undrawn part pays.
+    state.attempt = std::exchange(state.fallback_attempt, 0);
+    state.tokens = std::min(state.fallback_tokens, budget.undrawn);
     budget.undrawn -= state.tokens;
     budget.charged += state.tokens;
     keys_[id] = state;
-  } else if (state.claimed) {
+  } else if (state.non_repeatable) {
     keys_[id].phase = KeyState::Phase::kDone;
     keys_[id].tokens = 0;
   } else {
@@ -313,7 +314,7 @@
 }
 
 bool LedgerFold::Expired(const KeyState& state) const {
-  return !state.carried && state.seen + key_window_ < now();
+  return !state.never_expires && state.last_seen + key_window_ < now();
 }
 
 KeyState LedgerFold::Lookup(const KeyId& id) const {
--- a/src/state/ledger_fold.h
+++ b/src/state/ledger_fold.h
@@ -19,36 +19,37 @@
 
 //! Balances and request keys of one ledger shard, folded from its records.
 //!
-//! Every reader that folds the same records holds the same state. The fold
-//! accepts a draw only from what is undrawn, so that no combination of holders
-//! spends more than was prepaid. Not thread-safe.
+//! Every reader that folds the same records reaches the same state. A draw is
+//! granted from undrawn tokens only, so that the holders together cannot spend
+//! more than was prepaid. Not thread-safe.
 class LedgerFold {
  public:
   using Snapshot = LedgerSnapshot;
 
-  //! Keys are remembered for `key_window` of fold time; it must be the same in
-  //! the whole fleet.
+  //! Keys are remembered for `key_window` of fold time. All instances of the
+  //! fleet must use the same value.
   explicit LedgerFold(Millis key_window) : key_window_(key_window) {}
 
-  //! Takes in one record. Stops the process if an invariant breaks.
+  //! Applies one record. Stops the process if a budget's invariant is violated.
   FoldVerdict Apply(const Record& record, const FoldContext& context);
 
-  //! Balance of an organisation; all zero where none was ever prepaid.
+  //! Balance of an organisation; all zero if it never had a top-up.
   const Budget& BudgetOf(const std::string& organisation) const;
 
-  //! What is known of a request key; phase kNone where nothing is.
+  //! State of a request key; phase kNone if the key is unknown.
   KeyState KeyOf(const std::string& organisation, const std::string& key) const;
 
-  //! Whether a UUIDv7 key is older than the window, so that the fold may have
-  //! forgotten it. `wall` is the caller's own clock.
+  //! Whether a UUIDv7 key is at least as old as the key window, so that the
+  //! fold may have dropped its state. False for any other key. `wall` is the
+  //! wall-clock time of the calling process.
   bool KeyTooOld(const std::string& key, Millis wall) const;
 
   bool HolderExited(uint64_t holder) const { return exited_.contains(holder); }
 
-  //! Tokens in all shares of `holder`.
+  //! Sum of the tokens in all shares of `holder`.
   int64_t HeldBy(uint64_t holder) const;
 
-  //! Organisations whose budget has a share of `holder`, with its tokens.
+  //! Tokens in the shares of `holder`, by organisation.
   std::map<std::string, int64_t> SharesOf(uint64_t holder) const;
 
   const std::unordered_map<std::string, Budget>& budgets() const {
@@ -59,7 +60,8 @@
   //! Fold time.
   Millis now() const { return clock_.now(); }
 
-  //! Drops keys that have expired. Not observable through the other methods.
+  //! Drops expired keys, which the lookups ignore already, and voided and
+  //! abandoned attempts that are older than the key window.
   void Trim();
 
   template <class Archive>
@@ -84,10 +86,13 @@
   template <class Other>
   FoldVerdict On(const Other& record, const FoldContext& context);
 
-  //! Adds to a holder's share of a budget. All changes of shares go here.
+  //! Adds `tokens`, which may be negative, to a holder's share of a budget.
+  //! Each change of a share has to use this, which keeps `held_` consistent.
   void AddToShare(Budget& budget, uint64_t holder, int64_t tokens);
-  //! Whether a charge may still count under its holder's share.
-  bool Stands(const Charge& record, const FoldContext& context) const;
+  //! Whether a charge is valid under its holder's share. After the holder's
+  //! release, only charges covered by the tokens kept for their attempt are;
+  //! after a fence, only those that the holder appends itself.
+  bool IsValid(const Charge& record, const FoldContext& context) const;
   static KeyId IdOf(const std::string& organisation, const std::string& key);
   bool Expired(const KeyState& state) const;
   KeyState Lookup(const KeyId& id) const;
@@ -98,11 +103,11 @@
   std::unordered_map<uint64_t, int64_t> held_;  //!< Sum of shares by holder.
   std::map<KeyId, KeyState> keys_;
   std::set<std::string> top_up_ids_;
-  std::map<uint64_t, Millis> abandoned_attempts_;  //!< By attempt: fold time.
-  std::map<uint64_t, Millis> voided_attempts_;     //!< By attempt: fold time.
-  //! Released holders; by attempt, the tokens that others account for.
+  std::map<uint64_t, Millis> abandoned_attempts_;  //!< Fold time by attempt.
+  std::map<uint64_t, Millis> voided_attempts_;     //!< Fold time by attempt.
+  //! Released holders, each with the tokens kept in its shares, by attempt.
   std::map<uint64_t, std::map<uint64_t, int64_t>> exited_;
-  std::set<std::pair<uint64_t, uint64_t>> fenced_;  //!< Holder and entry.
+  std::set<std::pair<uint64_t, uint64_t>> fenced_;  //!< Holder, entry.
 };
 
 }  // namespace tamaracktrail
