--- a/examples/read_ledger.cpp
+++ b/examples/read_ledger.cpp
@@ -5,8 +5,8 @@
 #include "state/ledger_fold.h"
 #include "state/stream_view.h"
 
-//! Folds a small ledger stream, as any reader of the log would, and prints the
-//! balance of one organisation.
+//! Folds a ledger stream of one batch and a repeated append of it, as a reader
+//! of the log does, and prints the balance of one organisation.
 int main() {
   using tamaracktrail::Batch;
   using tamaracktrail::BatchCodec;
--- a/tests/state/ledger_fold_test.cpp
+++ b/tests/state/ledger_fold_test.cpp
@@ -43,7 +43,7 @@
   EXPECT_EQ(budget().prepaid, 100);
 }
 
-TEST_F(LedgerFoldTest, DrawsNeverExceedWhatIsUndrawn) {
+TEST_F(LedgerFoldTest, DrawGrantsAtMostTheUndrawnTokens) {
   Apply(TopUp{"org", "a", 100, ""});
   Apply(Draw{"org", kHolder, 70});
   Apply(Draw{"org", kOther, 70});
@@ -52,7 +52,7 @@
   EXPECT_EQ(Apply(Draw{"org", kOther, 1}), FoldVerdict::kLostRace);
 }
 
-TEST_F(LedgerFoldTest, FirstChargeOfAKeyCountsAndLaterOnesAreVoid) {
+TEST_F(LedgerFoldTest, OnlyFirstChargeOfAKeyCounts) {
   Apply(TopUp{"org", "a", 100, ""});
   Apply(Draw{"org", kHolder, 50});
   Apply(Draw{"org", kOther, 50});
@@ -70,7 +70,7 @@
   EXPECT_EQ(Phase("k"), KeyState::Phase::kNone);
 }
 
-TEST_F(LedgerFoldTest, VoidHoldsBeforeAndAfterItsCharge) {
+TEST_F(LedgerFoldTest, VoidTakesEffectBeforeAndAfterItsCharge) {
   Apply(TopUp{"org", "a", 100, ""});
   Apply(Draw{"org", kHolder, 50});
   Apply(MakeCharge("k", 10, 1));
@@ -81,9 +81,11 @@
   EXPECT_EQ(budget().charged, 0);
 }
 
-// Seed 81 of the fleet run: the first of two answers was withheld and voided
-// after the second had been delivered, which then stayed unbilled.
-TEST_F(LedgerFoldTest, VoidOfFirstChargeLetsTheDeliveredRivalCount) {
+// Guards against a delivered answer that is not billed (found with seed 81 of
+// the simulated fleet): two attempts of a key were charged, the answer of the
+// first was withheld, and its charge was voided after the second answer had
+// been delivered.
+TEST_F(LedgerFoldTest, VoidOfFirstChargeMakesSecondChargeCount) {
   Apply(TopUp{"org", "a", 100, ""});
   Apply(Draw{"org", kHolder, 50});
   Apply(MakeCharge("k", 10, 1));
@@ -94,7 +96,7 @@
   EXPECT_EQ(fold_.KeyOf("org", "k").attempt, 2u);
 }
 
-TEST_F(LedgerFoldTest, VoidOfAClaimedRunDoesNotLetItRunAgain) {
+TEST_F(LedgerFoldTest, ClaimAfterVoidOfClaimedRunIsRejected) {
   Apply(TopUp{"org", "a", 100, ""});
   Apply(Draw{"org", kHolder, 50});
   Apply(Claim{"org", "fee", 1, 0, "records"});
@@ -114,13 +116,13 @@
   EXPECT_EQ(Apply(Claim{"org", "fee", 3, 0, ""}), FoldVerdict::kAccepted);
 }
 
-TEST_F(LedgerFoldTest, AbandonThatOvertakesItsClaimVoidsIt) {
+TEST_F(LedgerFoldTest, AbandonBeforeItsClaimVoidsTheClaim) {
   Apply(Abandon{"org", "fee", 1});
   EXPECT_EQ(Apply(Claim{"org", "fee", 1, 0, ""}), FoldVerdict::kLostRace);
   EXPECT_EQ(Apply(Claim{"org", "fee", 2, 0, ""}), FoldVerdict::kAccepted);
 }
 
-TEST_F(LedgerFoldTest, ReleaseKeepsWhatOthersAccountFor) {
+TEST_F(LedgerFoldTest, ReleaseKeepsTokensThatOthersAccountFor) {
   Apply(TopUp{"org", "a", 100, ""});
   Apply(Draw{"org", kHolder, 80});
   Apply(Release{kHolder, "exit", {KeptShare{"org", 1, 30}}}, kOther);
@@ -138,7 +140,7 @@
   EXPECT_EQ(Apply(Return{"org", kHolder, 10}, kOther), FoldVerdict::kAccepted);
 }
 
-TEST_F(LedgerFoldTest, KeysExpireButOpaqueClaimsAreCarriedForward) {
+TEST_F(LedgerFoldTest, TimedKeysExpireAndOpaqueClaimsDoNot) {
   const std::string timed = "018bcfe5-6800-7000-8000-000000000000";
   Apply(TopUp{"org", "a", 100, ""});
   Apply(Claim{"org", "opaque", 1, 0, ""});
--- a/tests/state/stream_view_test.cpp
+++ b/tests/state/stream_view_test.cpp
@@ -33,7 +33,7 @@
   EXPECT_EQ(view_.fold().BudgetOf("org").prepaid, 5);
 }
 
-TEST_F(StreamViewTest, FlippedByteIsDropped) {
+TEST_F(StreamViewTest, BatchWithAFlippedBitIsDropped) {
   LogEntry entry = Entry(1, 1, "", {TopUp{"org", "a", 5, ""}});
   for (size_t i = 0; i < entry.payload.size(); ++i) {
     LogEntry bad = entry;
@@ -44,7 +44,7 @@
   }
 }
 
-TEST_F(StreamViewTest, ChainWithAGapOrAWrongDigestIsBroken) {
+TEST_F(StreamViewTest, BatchesWithASequenceGapOrWrongDigestAreDropped) {
   const LogEntry first = Entry(1, 1, "", {});
   view_.Feed(first);
   const std::string digest = BatchCodec::ChainDigest(first.payload);
@@ -56,7 +56,7 @@
   EXPECT_EQ(view_.fold().BudgetOf("org").prepaid, 5);
 }
 
-TEST_F(StreamViewTest, ReaderStartsFromASnapshotWhereTheLogForgot) {
+TEST_F(StreamViewTest, ReaderOfATruncatedLogStartsFromASnapshot) {
   std::vector<LogEntry> log;
   log.push_back(Entry(1, 1, "", {TopUp{"org", "a", 5, ""}}, 1));
   log.push_back(Entry(2, 1, "", {TopUp{"org", "b", 6, ""}}, 2));
@@ -75,13 +75,13 @@
   EXPECT_EQ(late.next_offset(), 6u);
 }
 
-TEST_F(StreamViewTest, WithoutASnapshotAReaderWaits) {
+TEST_F(StreamViewTest, ReaderOfATruncatedLogWaitsForASnapshot) {
   EXPECT_TRUE(view_.Feed(Entry(9, 1, "", {})).empty());
   EXPECT_FALSE(view_.live());
   EXPECT_EQ(view_.read_offset(), 10u);
 }
 
-TEST(ControlFoldTest, ConfigurationIsAcceptedOnItsBaseOnly) {
+TEST(ControlFoldTest, ConfigurationIsAcceptedOnlyOnTheCurrentVersion) {
   ControlFold fold;
   const auto publish = [&](uint64_t offset, uint64_t base, const char* id) {
     return fold.Apply(Configuration{base, id, "", {}},
@@ -96,7 +96,7 @@
   EXPECT_EQ(fold.VersionOf("b"), std::nullopt);
 }
 
-TEST(ControlFoldTest, OneTrialAContentAndAcquittalClearsIt) {
+TEST(ControlFoldTest, OnlyOneTrialPerContentUntilItEnds) {
   ControlFold fold;
   const FoldContext context{1, 1, Millis(1)};
   fold.Apply(Crash{"c", "e1", "k", 1}, context);
@@ -111,7 +111,7 @@
   EXPECT_EQ(fold.CrashCount("c"), 0u);
 }
 
-TEST(ControlFoldTest, OrdersNeedTheCurrentTermAndTheFleetsLoadRate) {
+TEST(ControlFoldTest, OrdersRequireTheCurrentTermAndLoadsTheFleetRate) {
   ControlFold fold(2);
   fold.Apply(Term{"dc", 1}, FoldContext{5, 1, Millis(1)});
   const auto order = [&](uint64_t number, const char* action) {
