--- a/src/state/abandon.h
+++ b/src/state/abandon.h
@@ -9,7 +9,7 @@
 namespace tamaracktrail {
 
 //! Withdraws the run claim of an attempt that was never dispatched and never
-//! will be. It holds whether it comes before or after the claim.
+//! will be. It takes effect whether it comes before or after the claim.
 struct Abandon {
   std::string organisation;
   std::string key;
--- a/src/state/control_fold.cpp
+++ b/src/state/control_fold.cpp
@@ -79,7 +79,7 @@
     return FoldVerdict::kLostRace;
   }
   CHECK_GT(context.offset, version_)
-      << "configuration offset is not above the current version";
+      << "configuration would revert: offset is not above the version in force";
   version_ = context.offset;
   configuration_ = record;
   published_[record.id] = version_;
