--- a/src/protocol/charge_confirmed.h
+++ b/src/protocol/charge_confirmed.h
@@ -5,7 +5,7 @@
 
 namespace tamaracktrail {
 
-//! The log has the charge of an attempt, or has voided it.
+//! Reports that the log holds the charge of an attempt, or has voided it.
 struct ChargeConfirmed {
   uint64_t attempt = 0;
 
--- a/src/protocol/crash_notice.h
+++ b/src/protocol/crash_notice.h
@@ -5,7 +5,7 @@
 
 namespace tamaracktrail {
 
-//! Tells of a crash record before the log has it.
+//! Reports a crash to a peer before the log holds its record.
 struct CrashNotice {
   Crash crash;
 
--- a/src/protocol/endpoint_news.h
+++ b/src/protocol/endpoint_news.h
@@ -10,14 +10,14 @@
 
 namespace tamaracktrail {
 
-//! What the sender's own probe has seen of an endpoint.
+//! Result of the sender's own probe of an endpoint.
 struct EndpointNews {
   std::string endpoint;
-  //! Since the probe was sent.
+  //! Time since the probe was sent.
   Millis age;
-  //! An EndpointHealth.
+  //! An EndpointHealth value.
   int32_t health = 0;
-  //! Requests in progress that the endpoint reported.
+  //! Number of requests in progress, as the endpoint reported it.
   int32_t load = 0;
 
   friend bool operator==(const EndpointNews&, const EndpointNews&) = default;
--- a/src/protocol/heartbeat.h
+++ b/src/protocol/heartbeat.h
@@ -21,11 +21,11 @@
   uint64_t sequence = 0;
   uint64_t config_version = 0;
   bool draining = false;
-  //! Sender's monotonic clock; the receiver echoes it.
+  //! Send time by the sender's monotonic clock; the receiver echoes it.
   Millis sent_at;
-  //! sent_at of the last heartbeat received from the receiver.
+  //! `sent_at` of the last heartbeat that the sender got from the receiver.
   Millis echo;
-  //! Incarnation whose heartbeat is echoed; 0 for none.
+  //! Incarnation that sent the echoed heartbeat; 0 if none was received.
   uint64_t echo_of = 0;
   std::vector<EndpointNews> endpoints;
 
--- a/src/protocol/orphan_query.h
+++ b/src/protocol/orphan_query.h
@@ -5,7 +5,7 @@
 
 namespace tamaracktrail {
 
-//! Asks which reservations of an exited holder the receiver still has open.
+//! Asks a peer which reservations under an exited holder it still has open.
 struct OrphanQuery {
   uint64_t holder = 0;
 
--- a/src/protocol/orphan_report.h
+++ b/src/protocol/orphan_report.h
@@ -11,11 +11,12 @@
 
 namespace tamaracktrail {
 
+//! Answer to an OrphanQuery.
 struct OrphanReport {
   uint64_t holder = 0;
   uint64_t reporter = 0;
   std::vector<KeptShare> kept;
-  //! In the reporter's custody, whose entry is the exited one.
+  //! Charges in the reporter's custody whose entry is the exited instance.
   std::vector<SettleRequest> charges;
 
   friend bool operator==(const OrphanReport&, const OrphanReport&) = default;
--- a/src/protocol/peer_message.h
+++ b/src/protocol/peer_message.h
@@ -22,7 +22,7 @@
 namespace tamaracktrail {
 
 //! Any message between instances. The order of the alternatives is part of the
-//! wire format; a change of it raises kPeerProtocolVersion.
+//! wire format: changing it requires a higher kPeerProtocolVersion.
 using PeerMessage = std::variant<Hello,
                                  Heartbeat,
                                  ReserveRequest,
--- a/src/protocol/records_note.h
+++ b/src/protocol/records_note.h
@@ -11,7 +11,7 @@
 
 namespace tamaracktrail {
 
-//! Records for the receiver to append to an organisation's ledger shard.
+//! Asks the receiver to append records to an organisation's ledger shard.
 struct RecordsNote {
   std::string organisation;
   std::vector<Record> records;
--- a/src/protocol/reservation_end.h
+++ b/src/protocol/reservation_end.h
@@ -14,7 +14,7 @@
   std::string key;
   uint64_t attempt = 0;
   uint64_t holder = 0;
-  //! The attempt's claim, if any, was never dispatched.
+  //! The attempt was never dispatched; its run claim, if any, is abandoned.
   bool abandon = false;
 
   friend bool operator==(const ReservationEnd&,
--- a/src/protocol/reserve_reply.h
+++ b/src/protocol/reserve_reply.h
@@ -7,9 +7,9 @@
 
 struct ReserveReply {
   uint64_t attempt = 0;
-  //! ResultCode; kOk where the reservation stands.
+  //! A ResultCode; kOk if the tokens are reserved.
   int32_t code = 0;
-  //! Whose share covers it.
+  //! Incarnation whose share covers the reservation.
   uint64_t holder = 0;
   int64_t tokens = 0;
 
--- a/src/protocol/reserve_request.h
+++ b/src/protocol/reserve_request.h
@@ -8,13 +8,13 @@
 
 namespace tamaracktrail {
 
-//! Asks a keeper for a request's worst case and, for a non-repeatable request,
-//! for its claim.
+//! Asks a keeper to reserve a request's worst case in tokens and, for a
+//! non-repeatable request, to record its run claim.
 struct ReserveRequest {
   std::string organisation;
   std::string key;
   std::string service;
-  //! Names the reservation.
+  //! Identifies the reservation.
   uint64_t attempt = 0;
   uint64_t entry = 0;
   int64_t tokens = 0;
--- a/src/protocol/settle_reply.h
+++ b/src/protocol/settle_reply.h
@@ -5,7 +5,8 @@
 
 namespace tamaracktrail {
 
-//! The receiver holds the charge and appends it until the log confirms it.
+//! Answer to a SettleRequest: the sender of this reply has the charge in its
+//! custody and appends it until the log confirms it.
 struct SettleReply {
   uint64_t attempt = 0;
 
--- a/src/protocol/settle_request.h
+++ b/src/protocol/settle_request.h
@@ -7,10 +7,10 @@
 
 namespace tamaracktrail {
 
-//! Hands a charge into the receiver's custody.
+//! Transfers a charge into the receiver's custody.
 struct SettleRequest {
   Charge charge;
-  //! Size of the reservation that covers it.
+  //! Tokens of the reservation that covers the charge.
   int64_t reserved = 0;
 
   friend bool operator==(const SettleRequest&, const SettleRequest&) = default;
