--- a/src/protocol/frame_codec.cpp
+++ b/src/protocol/frame_codec.cpp
@@ -24,7 +24,7 @@
 constexpr size_t kTagOffset = kMagicBytes + kVersionBytes + kLengthBytes;
 constexpr size_t kTagBytes = 32;
 
-std::string BigEndian(uint64_t value, size_t bytes) {
+std::string EncodeBigEndian(uint64_t value, size_t bytes) {
   std::string out(bytes, '\0');
   for (size_t i = 0; i < bytes; ++i) {
     out[bytes - 1 - i] = static_cast<char>(value >> (8 * i));
@@ -32,10 +32,10 @@
   return out;
 }
 
-uint64_t ReadBigEndian(const std::string& data, size_t at, size_t bytes) {
+uint64_t DecodeBigEndian(const std::string& data, size_t offset, size_t bytes) {
   uint64_t value = 0;
   for (size_t i = 0; i < bytes; ++i) {
-    value = value << 8 | static_cast<unsigned char>(data[at + i]);
+    value = value << 8 | static_cast<unsigned char>(data[offset + i]);
   }
   return value;
 }
@@ -55,8 +55,9 @@
   const std::string body = out.str();
   CHECK_LE(body.size(), kMaxBodyBytes);
   return std::string(kMagic, kMagicBytes) +
-         BigEndian(kPeerProtocolVersion, kVersionBytes) +
-         BigEndian(body.size(), kLengthBytes) + HmacSha256(key_, body) + body;
+         EncodeBigEndian(kPeerProtocolVersion, kVersionBytes) +
+         EncodeBigEndian(body.size(), kLengthBytes) + HmacSha256(key_, body) +
+         body;
 }
 
 absl::StatusOr<PeerMessage> FrameCodec::Decode(const std::string& frame) const {
@@ -76,16 +77,16 @@
   if (buffer.size() < kHeaderBytes) {
     return std::nullopt;
   }
-  const absl::StatusOr<size_t> n = BodyLength(buffer);
-  if (!n.ok()) {
-    return n.status();
+  const absl::StatusOr<size_t> body_bytes = BodyLength(buffer);
+  if (!body_bytes.ok()) {
+    return body_bytes.status();
   }
-  if (buffer.size() < kHeaderBytes + *n) {
+  if (buffer.size() < kHeaderBytes + *body_bytes) {
     return std::nullopt;
   }
   const std::string tag = buffer.substr(kTagOffset, kTagBytes);
-  const std::string body = buffer.substr(kHeaderBytes, *n);
-  buffer.erase(0, kHeaderBytes + *n);
+  const std::string body = buffer.substr(kHeaderBytes, *body_bytes);
+  buffer.erase(0, kHeaderBytes + *body_bytes);
   if (!DigestsEqual(tag, HmacSha256(key_, body))) {
     return absl::UnauthenticatedError("frame has a wrong tag");
   }
@@ -104,16 +105,16 @@
   if (header.compare(0, kMagicBytes, kMagic) != 0) {
     return absl::DataLossError("frame does not start with the magic number");
   }
-  const uint64_t version = ReadBigEndian(header, kMagicBytes, kVersionBytes);
+  const uint64_t version = DecodeBigEndian(header, kMagicBytes, kVersionBytes);
   if (version != kPeerProtocolVersion) {
     return absl::FailedPreconditionError("frame is of another version");
   }
-  const uint64_t n =
-      ReadBigEndian(header, kMagicBytes + kVersionBytes, kLengthBytes);
-  if (n > kMaxBodyBytes) {
+  const uint64_t body_bytes =
+      DecodeBigEndian(header, kMagicBytes + kVersionBytes, kLengthBytes);
+  if (body_bytes > kMaxBodyBytes) {
     return absl::OutOfRangeError("frame is too long");
   }
-  return n;
+  return body_bytes;
 }
 
 }  // namespace tamaracktrail
--- a/src/protocol/frame_codec.h
+++ b/src/protocol/frame_codec.h
@@ -28,18 +28,20 @@
   //! Precondition: the body is not longer than kMaxBodyBytes.
   std::string Encode(const PeerMessage& message) const;
 
-  //! Decodes one whole frame, for datagrams. kOutOfRange: cut or too long;
-  //! kFailedPrecondition: another version; kUnauthenticated: wrong tag;
-  //! kDataLoss: the body does not decode.
+  //! Decodes a datagram, which must hold exactly one frame. Errors:
+  //! kOutOfRange: truncated or too long; kFailedPrecondition: another protocol
+  //! version; kUnauthenticated: wrong HMAC; kDataLoss: wrong magic number, or
+  //! the body cannot be decoded.
   absl::StatusOr<PeerMessage> Decode(const std::string& frame) const;
 
-  //! Takes the first frame off the front of `buffer`, for streams. nullopt
-  //! where it is not complete yet. An error leaves the stream unusable.
+  //! Decodes the first frame of a stream and removes it from `buffer`. Returns
+  //! nullopt if the frame is incomplete. The stream is unusable after an error;
+  //! the errors are those of Decode.
   absl::StatusOr<std::optional<PeerMessage>> TakeFrom(
       std::string& buffer) const;
 
  private:
-  //! Length of the body that a header announces.
+  //! Body length that a header declares.
   absl::StatusOr<size_t> BodyLength(const std::string& header) const;
 
   std::string key_;
--- a/tests/protocol/frame_codec_test.cpp
+++ b/tests/protocol/frame_codec_test.cpp
@@ -12,7 +12,7 @@
   return kCodec.Encode(ReserveRequest{"org", "key", "s", 1, 2, 300, true});
 }
 
-TEST(FrameCodecTest, AnyReservationComesBackAsItWas) {
+TEST(FrameCodecTest, AnyReserveRequestIsUnchangedAfterEncodeAndDecode) {
   const bool ok = rc::check([](const std::string& organisation,
                                const std::string& key, uint64_t attempt,
                                int64_t tokens, bool claim) {
@@ -24,16 +24,17 @@
   EXPECT_TRUE(ok);
 }
 
-//! A change to a frame and what decoding it must say.
+//! A change to a valid frame and the status code that Decode must return.
 struct FaultCase {
   const char* name;
   std::function<void(std::string&)> change;
   absl::StatusCode code;
 };
 
-TEST(FrameCodecTest, DamagedFramesAreRefused) {
+TEST(FrameCodecTest, DamagedFrameIsRejectedWithExpectedStatus) {
   const FaultCase kCases[] = {
-      {"cut", [](auto& it) { it.pop_back(); }, absl::StatusCode::kOutOfRange},
+      {"truncated", [](auto& it) { it.pop_back(); },
+       absl::StatusCode::kOutOfRange},
       {"header only", [](auto& it) { it.resize(10); },
        absl::StatusCode::kOutOfRange},
       {"bytes after the end", [](auto& it) { it += "x"; },
@@ -56,12 +57,12 @@
   }
 }
 
-TEST(FrameCodecTest, FrameUnderAnotherKeyIsRefused) {
+TEST(FrameCodecTest, FrameAuthenticatedWithAnotherKeyIsRejected) {
   const FrameCodec other("another key for tests");
   EXPECT_TRUE(absl::IsUnauthenticated(other.Decode(Frame()).status()));
 }
 
-TEST(FrameCodecTest, StreamOfFramesIsTakenInAnyPieces) {
+TEST(FrameCodecTest, AllFramesAreDecodedFromStreamInPiecesOfAnySize) {
   const std::string stream = Frame() + Frame() + Frame();
   for (size_t piece = 1; piece < stream.size(); piece += 7) {
     std::string buf;
