--- a/src/protocol/http_fields.h
+++ b/src/protocol/http_fields.h
@@ -16,15 +16,15 @@
   friend bool operator==(const HttpField&, const HttpField&) = default;
 };
 
-//! Header fields in their order. Not thread-safe.
+//! Header fields in the order received. Not thread-safe.
 class HttpFields {
  public:
   void Add(std::string_view name, std::string_view value);
 
-  //! Value of the first field with this name, in any case.
+  //! Value of the first field with this name, compared case-insensitively.
   std::optional<std::string_view> Find(std::string_view name) const;
 
-  //! How many fields have this name.
+  //! Number of fields with this name, compared case-insensitively.
   size_t Count(std::string_view name) const;
 
   const std::vector<HttpField>& all() const { return fields_; }
@@ -36,7 +36,7 @@
   std::vector<HttpField> fields_;
 };
 
-//! Whether a field concerns one connection only and is not forwarded
+//! Whether a field is hop-by-hop, so that an intermediary does not forward it
 //! (RFC 9110, 7.6.1). Thread-safe.
 bool IsHopByHopField(std::string_view name);
 
--- a/src/protocol/http_reader.cpp
+++ b/src/protocol/http_reader.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-//! Bytes that no field value may hold; a lone CR or LF ends a line for some
-//! parsers and not for others.
-bool HasControlByte(std::string_view text) {
+//! Whether `text` has a control character that is not allowed in a field value.
+//! Parsers differ in whether a lone CR or LF ends a line.
+bool HasControlCharacter(std::string_view text) {
   return std::any_of(text.begin(), text.end(), [](char c) {
     return (static_cast<unsigned char>(c) < 0x20 && c != '\t') || c == 0x7f;
   });
@@ -30,7 +30,7 @@
 
 }  // namespace
 
-//! What both kinds of message have in common.
+//! Interface and results that the request and response parsers share.
 class HttpReader::Base {
  public:
   virtual ~Base() = default;
@@ -60,7 +60,7 @@
  public:
   explicit Parser(uint32_t max_header_bytes) {
     this->header_limit(max_header_bytes);
-    // Bodies are bounded by their readers.
+    // Users of HttpReader limit the size of bodies.
     this->body_limit(std::numeric_limits<uint64_t>::max());
     this->eager(true);
   }
@@ -121,7 +121,7 @@
     method = View(method_text);
     target = View(target_text);
     version = http_version;
-    if (HasControlByte(target)) {
+    if (HasControlCharacter(target)) {
       ec = http::error::bad_target;
     }
   }
@@ -139,14 +139,14 @@
                      string_view name_text,
                      string_view value,
                      error_code& ec) override {
-    if (HasControlByte(View(value))) {
+    if (HasControlCharacter(View(value))) {
       ec = http::error::bad_value;
       return;
     }
-    const bool framing = name == http::field::content_length ||
-                         name == http::field::transfer_encoding;
-    if (framing && (fields.Count("Content-Length") > 0 ||
-                    fields.Count("Transfer-Encoding") > 0)) {
+    const bool is_framing_field = name == http::field::content_length ||
+                                  name == http::field::transfer_encoding;
+    if (is_framing_field && (fields.Count("Content-Length") > 0 ||
+                             fields.Count("Transfer-Encoding") > 0)) {
       ec = http::error::bad_content_length;
       return;
     }
--- a/src/protocol/http_reader.h
+++ b/src/protocol/http_reader.h
@@ -11,33 +11,35 @@
 
 namespace tamaracktrail {
 
-//! Reads one HTTP/1.1 message from bytes as they arrive.
+//! Incremental parser of one HTTP/1.1 message.
 //!
-//! Parsing is Boost.Beast's; added are refusals of framing that two parsers
-//! could read in two ways (request smuggling). Not thread-safe.
+//! Parses with Boost.Beast and also rejects framing that two parsers could
+//! interpret differently (request smuggling). Not thread-safe.
 class HttpReader {
  public:
   enum class Kind { kRequest, kResponse };
 
-  //! `max_header_bytes` bounds the head.
+  //! `max_header_bytes` limits the start line and the header fields together.
   HttpReader(Kind kind, uint32_t max_header_bytes);
   ~HttpReader();
 
-  //! Consumes a part of `buf`, which it removes from there. Errors:
-  //! ResourceExhausted for a head over its limit, InvalidArgument else.
+  //! Parses the part of `buf` that belongs to this message and removes it from
+  //! `buf`. Errors: kResourceExhausted if the head is over its limit, otherwise
+  //! kInvalidArgument.
   absl::Status Feed(std::string* buf);
 
-  //! The peer closed its side. Errors: the message is not whole.
+  //! To be called when the peer has closed its side. Errors: the message is
+  //! incomplete.
   absl::Status FeedEnd();
 
-  //! The response has no body whatever its fields say. Precondition: nothing
-  //! was fed.
+  //! Treats the response as one without a body, whatever its fields say, as
+  //! after a HEAD request. Precondition: Feed was not called yet.
   void ExpectNoBody();
 
   bool started() const;
   bool head_done() const;
   bool done() const;
-  //! The body ends with the connection.
+  //! Whether the body is delimited by the end of the connection.
   bool ends_with_connection() const;
   bool keep_alive() const;
   bool chunked() const;
@@ -50,7 +52,7 @@
   bool is_http_1_1() const;
   const HttpFields& fields() const;
 
-  //! Body bytes read so far and not taken.
+  //! Body bytes that were parsed and that the caller has not removed yet.
   std::string& body();
 
  private:
--- a/src/protocol/sse_parser.h
+++ b/src/protocol/sse_parser.h
@@ -17,10 +17,10 @@
 //! Splits a byte stream into server-sent events. Not thread-safe.
 class SseParser {
  public:
-  //! Events that `bytes` completes.
+  //! Appends `bytes` and returns the events that they complete.
   std::vector<SseEvent> Feed(const std::string& bytes);
 
-  //! Bytes of an event that is not complete.
+  //! Number of buffered bytes of an incomplete event.
   size_t pending() const { return buffer_.size(); }
 
  private:
--- a/src/protocol/text.h
+++ b/src/protocol/text.h
@@ -8,17 +8,18 @@
 
 namespace tamaracktrail {
 
-//! The packaged Abseil has a string view type of its own, which does not
-//! convert from the standard one. Thread-safe.
+//! Converts to Abseil's string view. The packaged Abseil has its own type,
+//! which does not convert from the standard one. Thread-safe.
 inline absl::string_view AsAbsl(std::string_view text) {
   return {text.data(), text.size()};
 }
 
+//! Converts from Abseil's string view. Thread-safe.
 inline std::string_view AsStd(absl::string_view text) {
   return {text.data(), text.size()};
 }
 
-//! Whether two ASCII texts are equal but for case. Thread-safe.
+//! Compares two ASCII strings case-insensitively. Thread-safe.
 inline bool EqualsIgnoringCase(std::string_view a, std::string_view b) {
   return absl::EqualsIgnoreCase(AsAbsl(a), AsAbsl(b));
 }
--- a/tests/protocol/http_reader_test.cpp
+++ b/tests/protocol/http_reader_test.cpp
@@ -7,7 +7,7 @@
 namespace tamaracktrail {
 namespace {
 
-constexpr uint32_t kMaxHead = 4096;
+constexpr uint32_t kMaxHeaderBytes = 4096;
 
 struct BadRequest {
   const char* name;
@@ -16,8 +16,8 @@
 
 class BadRequestTest : public testing::TestWithParam<BadRequest> {};
 
-TEST_P(BadRequestTest, IsRefused) {
-  HttpReader reader(HttpReader::Kind::kRequest, kMaxHead);
+TEST_P(BadRequestTest, IsNotParsedAsCompleteRequest) {
+  HttpReader reader(HttpReader::Kind::kRequest, kMaxHeaderBytes);
   std::string buf = GetParam().text;
   EXPECT_FALSE(reader.Feed(&buf).ok() && reader.done());
 }
@@ -64,11 +64,11 @@
                    "GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n"}),
     [](const auto& info) { return std::string(info.param.name); });
 
-TEST(HttpReaderTest, ReadsARequestByteByByteAndLeavesTheNext) {
+TEST(HttpReaderTest, RequestFedByteByByteIsParsedAndNextRequestStaysInBuffer) {
   const std::string text =
       "POST /a?b=c HTTP/1.1\r\nHost: h\r\nX-A: 1\r\nContent-Length: 3\r\n\r\n"
       "abc";
-  HttpReader reader(HttpReader::Kind::kRequest, kMaxHead);
+  HttpReader reader(HttpReader::Kind::kRequest, kMaxHeaderBytes);
   std::string buf;
   for (const char c : text) {
     buf.push_back(c);
@@ -84,8 +84,8 @@
   EXPECT_EQ(buf, "GET / HTTP/1.1\r\n");
 }
 
-TEST(HttpReaderTest, ReadsChunks) {
-  HttpReader reader(HttpReader::Kind::kRequest, kMaxHead);
+TEST(HttpReaderTest, ChunkedBodyIsDecoded) {
+  HttpReader reader(HttpReader::Kind::kRequest, kMaxHeaderBytes);
   std::string buf =
       "POST / HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
       "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
@@ -94,15 +94,15 @@
   EXPECT_EQ(reader.body(), "abcde");
 }
 
-TEST(HttpReaderTest, TellsAHeadThatIsTooLarge) {
+TEST(HttpReaderTest, HeadOverLimitReturnsResourceExhausted) {
   HttpReader reader(HttpReader::Kind::kRequest, 256);
   std::string buf =
       "GET / HTTP/1.1\r\nHost: h\r\nX: " + std::string(1000, 'a') + "\r\n\r\n";
   EXPECT_TRUE(absl::IsResourceExhausted(reader.Feed(&buf)));
 }
 
-TEST(HttpReaderTest, AnAnswerWithoutLengthEndsWithItsConnection) {
-  HttpReader reader(HttpReader::Kind::kResponse, kMaxHead);
+TEST(HttpReaderTest, ResponseWithoutLengthEndsWhenConnectionCloses) {
+  HttpReader reader(HttpReader::Kind::kResponse, kMaxHeaderBytes);
   std::string buf = "HTTP/1.1 200 OK\r\n\r\nabc";
   ASSERT_TRUE(reader.Feed(&buf).ok());
   EXPECT_TRUE(reader.ends_with_connection());
@@ -111,8 +111,8 @@
   EXPECT_TRUE(reader.done());
 }
 
-TEST(HttpReaderTest, ACutAnswerIsNotWhole) {
-  HttpReader reader(HttpReader::Kind::kResponse, kMaxHead);
+TEST(HttpReaderTest, TruncatedResponseIsAnErrorWhenConnectionCloses) {
+  HttpReader reader(HttpReader::Kind::kResponse, kMaxHeaderBytes);
   std::string buf = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabc";
   ASSERT_TRUE(reader.Feed(&buf).ok());
   EXPECT_FALSE(reader.done());
