--- a/src/protocol/ini_reader.cpp
+++ b/src/protocol/ini_reader.cpp
@@ -39,7 +39,7 @@
 std::optional<std::string> IniReader::String(const std::string& section,
                                              const std::string& key,
                                              bool required) {
-  asked_[section].insert(key);
+  requested_keys_[section].insert(key);
   gchar* value =
       g_key_file_get_string(keys_, section.c_str(), key.c_str(), nullptr);
   if (value == nullptr) {
@@ -104,7 +104,7 @@
 
 std::vector<std::string> IniReader::List(const std::string& section,
                                          const std::string& key) {
-  asked_[section].insert(key);
+  requested_keys_[section].insert(key);
   std::vector<std::string> out;
   gchar** values = g_key_file_get_string_list(keys_, section.c_str(),
                                               key.c_str(), nullptr, nullptr);
@@ -146,9 +146,10 @@
     gchar** keys =
         g_key_file_get_keys(keys_, section.c_str(), nullptr, nullptr);
     for (gchar** it = keys; it != nullptr && *it != nullptr; ++it) {
-      if (!asked_[section].contains(*it)) {
+      if (!requested_keys_[section].contains(*it)) {
         AddFault(section, *it, *it,
-                 absl::StrCat("only ", absl::StrJoin(asked_[section], ", ")));
+                 absl::StrCat("only ",
+                              absl::StrJoin(requested_keys_[section], ", ")));
       }
     }
     g_strfreev(keys);
--- a/src/protocol/model_call.cpp
+++ b/src/protocol/model_call.cpp
@@ -11,37 +11,37 @@
 using nlohmann::json;
 
 constexpr size_t kPrefixBytes = 1024;
-//! Tokens that a chat template adds, at most.
-constexpr int64_t kTemplateTokens = 64;
+//! Upper bound of the tokens that a chat template adds.
+constexpr int64_t kMaxTemplateTokens = 64;
 
-std::string TextOf(const json& content) {
+std::string ContentText(const json& content) {
   return content.is_string() ? content.get<std::string>() : content.dump();
 }
 
-std::string PromptOf(const json& body, bool chat) {
+std::string PromptText(const json& body, bool chat) {
   if (!chat) {
-    return TextOf(body["prompt"]);
+    return ContentText(body["prompt"]);
   }
   std::string prompt;
   for (const json& it : body["messages"]) {
     prompt += it.value("role", "") + ":";
-    prompt += it.contains("content") ? TextOf(it["content"]) : "";
+    prompt += it.contains("content") ? ContentText(it["content"]) : "";
     prompt += "\n";
   }
   return prompt;
 }
 
-absl::Status CheckShape(const json& body, bool chat) {
+absl::Status ValidateBody(const json& body, bool chat) {
   if (!body.is_object()) {
     return absl::InvalidArgumentError("the body is not a JSON object");
   }
   if (!body.contains("model") || !body["model"].is_string()) {
     return absl::InvalidArgumentError("\"model\" is missing");
   }
-  const bool messages = body.contains("messages") &&
-                        body["messages"].is_array() &&
-                        !body["messages"].empty();
-  if (chat && !messages) {
+  const bool has_messages = body.contains("messages") &&
+                            body["messages"].is_array() &&
+                            !body["messages"].empty();
+  if (chat && !has_messages) {
     return absl::InvalidArgumentError("\"messages\" is missing or empty");
   }
   for (const json& it : chat ? body["messages"] : json::array()) {
@@ -71,7 +71,7 @@
                                          bool chat,
                                          int64_t default_max_tokens) {
   json parsed = json::parse(body, nullptr, false);
-  if (absl::Status status = CheckShape(parsed, chat); !status.ok()) {
+  if (absl::Status status = ValidateBody(parsed, chat); !status.ok()) {
     return status;
   }
   ModelCall call;
@@ -79,10 +79,10 @@
   call.model = parsed["model"].get<std::string>();
   call.stream = parsed.value("stream", false);
   call.max_tokens = parsed.value("max_tokens", default_max_tokens);
-  const std::string prompt = PromptOf(parsed, chat);
+  const std::string prompt = PromptText(parsed, chat);
   call.prefix = prompt.substr(0, kPrefixBytes);
-  // A token has at least one byte.
-  call.prompt_bound = static_cast<int64_t>(prompt.size()) + kTemplateTokens;
+  // A token has at least one byte, so the size in bytes bounds the tokens.
+  call.prompt_bound = static_cast<int64_t>(prompt.size()) + kMaxTemplateTokens;
   parsed["stream"] = true;
   parsed["max_tokens"] = call.max_tokens;
   parsed["stream_options"] = {{"include_usage", true}};
--- a/src/protocol/model_call.h
+++ b/src/protocol/model_call.h
@@ -8,27 +8,27 @@
 
 namespace tamaracktrail {
 
-//! A caller's request to a model, as far as routing needs it. Immutable.
+//! The parts of a caller's model request that routing needs. Immutable.
 struct ModelCall {
   std::string model;
-  std::string body;          //!< For the endpoint: always streamed.
-  std::string prefix;        //!< Start of the prompt, for cache affinity.
+  std::string body;          //!< For the endpoint; always asks for a stream.
+  std::string prefix;        //!< Prefix of the prompt, for cache affinity.
   bool chat = true;          //!< /v1/chat/completions, else /v1/completions.
-  bool stream = false;       //!< Whether the caller wants a stream.
-  int64_t prompt_bound = 0;  //!< No prompt of this body has more tokens.
+  bool stream = false;       //!< Whether the caller asked for a stream.
+  int64_t prompt_bound = 0;  //!< Upper bound of the prompt tokens.
   int64_t max_tokens = 0;
 };
 
 //! Parses the body of a completion request. A missing max_tokens becomes
-//! `default_max_tokens`. kInvalidArgument says what is wrong. Thread-safe.
+//! `default_max_tokens`. Errors: kInvalidArgument with the reason. Thread-safe.
 absl::StatusOr<ModelCall> ParseModelCall(const std::string& body,
                                          bool chat,
                                          int64_t default_max_tokens);
 
-//! Text that one streamed chunk adds to the answer; empty for none.
+//! Text that a streamed chunk adds to the answer; empty if it has none.
 std::string ChunkText(const std::string& chunk, bool chat);
 
-//! A whole, not streamed answer.
+//! Body of a complete answer for a caller that did not ask for a stream.
 std::string WholeAnswer(const std::string& id,
                         const std::string& model,
                         const std::string& text,
--- a/src/protocol/setting_fault.h
+++ b/src/protocol/setting_fault.h
@@ -10,12 +10,12 @@
   std::string file;
   std::string section;
   std::string key;
-  std::string read;     //!< What the file says.
-  std::string allowed;  //!< What it may say.
+  std::string read;     //!< Value found in the file.
+  std::string allowed;  //!< Description of the valid values.
 
   friend bool operator==(const SettingFault&, const SettingFault&) = default;
 
-  //! One line for people.
+  //! Human-readable text, on one line.
   std::string ToString() const;
 };
 
