--- a/src/protocol/result_code.h
+++ b/src/protocol/result_code.h
@@ -5,8 +5,8 @@
 
 namespace tamaracktrail {
 
-//! Numbered results of requests; docs/RESULT_CODES.md has the table. Numbers
-//! are never reused.
+//! Numeric results of requests, listed in docs/RESULT_CODES.md. Numbers are
+//! never reused.
 enum class ResultCode : int32_t {
   kOk = 1000,
   kAlreadyBilled = 1001,
--- a/src/protocol/result_info.h
+++ b/src/protocol/result_info.h
@@ -8,20 +8,22 @@
 
 namespace tamaracktrail {
 
-//! What a caller is told with a result code.
+//! How a result code is reported to callers.
 struct ResultInfo {
   ResultCode code = ResultCode::kOk;
   const char* name = "";
   int http_status = 0;
-  RunState run_state = RunState::kNotRun;  //!< Unless the answer says more.
-  int retry_after_s = 0;                   //!< 0 where a retry cannot help.
+  //! Default; an answer may override it.
+  RunState run_state = RunState::kNotRun;
+  int retry_after_s = 0;  //!< 0 if a retry cannot help.
   const char* description = "";
 };
 
 //! All result codes in ascending order. Thread-safe.
 std::span<const ResultInfo> AllResults();
 
-//! Precondition: `code` is one of the enumeration. Thread-safe.
+//! Entry of a result code. Precondition: `code` is an enumerator of ResultCode.
+//! Thread-safe.
 const ResultInfo& InfoOf(ResultCode code);
 
 }  // namespace tamaracktrail
--- a/src/protocol/run_state.h
+++ b/src/protocol/run_state.h
@@ -3,14 +3,14 @@
 
 namespace tamaracktrail {
 
-//! Whether a request has run, as its caller is told.
+//! Whether a request has run, as reported to its caller.
 enum class RunState {
   kNotRun,          //!< No byte of the call can have reached an endpoint.
   kRan,             //!< It ran.
   kOutcomeUnknown,  //!< It may have run.
 };
 
-//! Name in answers: "not_run", "ran" or "outcome_unknown".
+//! Name that is used in answers: "not_run", "ran" or "outcome_unknown".
 const char* RunStateName(RunState state);
 
 }  // namespace tamaracktrail
--- a/tests/protocol/result_info_test.cpp
+++ b/tests/protocol/result_info_test.cpp
@@ -19,7 +19,7 @@
        ++at) {
     ++rows;
   }
-  EXPECT_EQ(rows, AllResults().size() + 2);  // Head and rule.
+  EXPECT_EQ(rows, AllResults().size() + 2);  // Header row and separator row.
   for (const ResultInfo& it : AllResults()) {
     const std::string retry =
         it.retry_after_s == 0 ? "-" : absl::StrCat(it.retry_after_s);
