--- a/src/cli/audit.cpp
+++ b/src/cli/audit.cpp
@@ -27,16 +27,16 @@
 using nlohmann::json;
 
 const char kControlStream[] = "control";
-const char kSuffix[] = ".jsonl";
+const char kExportSuffix[] = ".jsonl";
 
 using OnEntry = std::function<absl::Status(const LogEntry&)>;
 
 absl::Status ForEachEntry(const fs::path& path, const OnEntry& on_entry) {
   std::ifstream in(path);
   std::string line;
-  uint64_t number = 0;
+  uint64_t line_number = 0;
   while (std::getline(in, line)) {
-    ++number;
+    ++line_number;
     const json parsed = json::parse(line, nullptr, false);
     LogEntry entry;
     const bool ok =
@@ -45,8 +45,9 @@
         parsed["data"].is_string() &&
         absl::Base64Unescape(parsed["data"].get<std::string>(), &entry.payload);
     if (!ok) {
-      return absl::DataLossError(absl::StrCat(
-          path.filename().string(), ":", number, ": not an exported entry"));
+      return absl::DataLossError(absl::StrCat(path.filename().string(), ":",
+                                              line_number,
+                                              ": not an exported log entry"));
     }
     entry.offset = parsed["offset"].get<uint64_t>();
     if (absl::Status status = on_entry(entry); !status.ok()) {
@@ -72,7 +73,7 @@
   std::vector<fs::path> paths;
   std::error_code ec;
   for (const auto& it : fs::directory_iterator(folder, ec)) {
-    if (it.path().extension() == kSuffix) {
+    if (it.path().extension() == kExportSuffix) {
       paths.push_back(it.path());
     }
   }
@@ -80,7 +81,7 @@
   return paths;
 }
 
-//! Folds one exported stream and notes what does not fit.
+//! Folds one exported stream and reports inconsistencies.
 template <FoldModel Fold>
 class StreamAudit {
  public:
@@ -95,23 +96,26 @@
     ++report.streams;
     absl::Status status = ForEachEntry(path, [&](const LogEntry& entry) {
       CheckEntry(entry, report);
-      const uint64_t dropped = view_.dropped();
+      const uint64_t dropped_before = view_.dropped();
       for (const AppliedBatch& it : view_.Feed(entry)) {
         ++report.batches;
         report.records += it.batch.records.size();
-        Count(it, report);
+        CountCharges(it, report);
         on_batch(it);
       }
-      if (view_.dropped() > dropped) {
-        Fault(entry, "breaks its writer's hash chain or has a wrong tag",
-              report);
+      if (view_.dropped() > dropped_before) {
+        AddFault(
+            entry,
+            "was dropped: wrong HMAC, malformed, or not next in its writer's "
+            "hash chain",
+            report);
       }
       return absl::OkStatus();
     });
     report.repeated_batches += view_.repeats();
     if (status.ok() && !view_.live()) {
-      report.faults.push_back(
-          absl::StrCat(name_, ": starts without a snapshot to start from"));
+      report.faults.push_back(absl::StrCat(
+          name_, ": entries are missing and no snapshot replaces them"));
     }
     return status;
   }
@@ -120,13 +124,16 @@
 
  private:
   void CheckEntry(const LogEntry& entry, AuditReport& report) {
-    if (last_ != 0 && entry.offset != last_ + 1) {
-      Fault(entry, absl::StrCat("follows offset ", last_), report);
+    if (last_offset_ != 0 && entry.offset != last_offset_ + 1) {
+      AddFault(
+          entry,
+          absl::StrCat("is not contiguous: it follows offset ", last_offset_),
+          report);
     }
-    last_ = std::max(last_, entry.offset);
+    last_offset_ = std::max(last_offset_, entry.offset);
   }
 
-  void Count(const AppliedBatch& batch, AuditReport& report) {
+  void CountCharges(const AppliedBatch& batch, AuditReport& report) {
     for (size_t i = 0; i < batch.verdicts.size(); ++i) {
       const auto* charge = std::get_if<Charge>(&batch.batch.records[i]);
       if (charge == nullptr) {
@@ -143,41 +150,43 @@
     }
   }
 
-  void Fault(const LogEntry& entry,
-             const std::string& what,
-             AuditReport& report) {
+  void AddFault(const LogEntry& entry,
+                const std::string& what,
+                AuditReport& report) {
     report.faults.push_back(
         absl::StrCat(name_, ": offset ", entry.offset, " ", what));
   }
 
   std::string name_;
   StreamView<Fold> view_;
-  uint64_t last_ = 0;
+  uint64_t last_offset_ = 0;
 };
 
-using OnNamedBatch =
+using OnStreamBatch =
     std::function<void(const std::string&, const AppliedBatch&)>;
 
-absl::StatusOr<AuditReport> AuditAll(const std::string& folder,
-                                     const BatchCodec& codec,
-                                     int64_t key_window_ms,
-                                     const OnNamedBatch& on_batch) {
+absl::StatusOr<AuditReport> AuditExport(const std::string& folder,
+                                        const BatchCodec& codec,
+                                        int64_t key_window_ms,
+                                        const OnStreamBatch& on_batch) {
   AuditReport report;
   const std::vector<fs::path> paths = ExportedStreams(folder);
   if (paths.empty()) {
-    return absl::NotFoundError(absl::StrCat(folder, ": holds no export"));
+    return absl::NotFoundError(absl::StrCat(folder, ": no exported streams"));
   }
   for (const fs::path& path : paths) {
     const std::string name = path.stem();
-    const auto on_named = [&](const AppliedBatch& it) { on_batch(name, it); };
+    const auto on_stream_batch = [&](const AppliedBatch& it) {
+      on_batch(name, it);
+    };
     absl::Status status;
     if (name == kControlStream) {
       StreamAudit<ControlFold> audit(name, codec, ControlFold());
-      status = audit.Run(path, on_named, report);
+      status = audit.Run(path, on_stream_batch, report);
     } else {
       StreamAudit<LedgerFold> audit(name, codec,
                                     LedgerFold(Millis(key_window_ms)));
-      status = audit.Run(path, on_named, report);
+      status = audit.Run(path, on_stream_batch, report);
       for (const auto& [organisation, budget] : audit.fold().budgets()) {
         budget.CheckInvariant();
         report.budgets[organisation] = budget;
@@ -203,7 +212,7 @@
   }
   uint64_t exported = 0;
   for (const std::string& stream : streams) {
-    const fs::path path = fs::path(folder) / (stream + kSuffix);
+    const fs::path path = fs::path(folder) / (stream + kExportSuffix);
     absl::StatusOr<uint64_t> last = LastOffset(path);
     if (!last.ok()) {
       return last.status();
@@ -237,8 +246,8 @@
 absl::StatusOr<AuditReport> VerifyExport(const std::string& folder,
                                          const BatchCodec& codec,
                                          int64_t key_window_ms) {
-  return AuditAll(folder, codec, key_window_ms,
-                  [](const std::string&, const AppliedBatch&) {});
+  return AuditExport(folder, codec, key_window_ms,
+                     [](const std::string&, const AppliedBatch&) {});
 }
 
 absl::StatusOr<std::vector<std::string>> ExplainKey(const std::string& folder,
@@ -246,7 +255,7 @@
                                                     int64_t key_window_ms,
                                                     const std::string& key) {
   std::vector<std::pair<Millis, std::string>> found;
-  const absl::StatusOr<AuditReport> report = AuditAll(
+  const absl::StatusOr<AuditReport> report = AuditExport(
       folder, codec, key_window_ms,
       [&](const std::string& stream, const AppliedBatch& it) {
         for (size_t i = 0; i < it.batch.records.size(); ++i) {
--- a/src/cli/audit.h
+++ b/src/cli/audit.h
@@ -14,30 +14,31 @@
 class BatchCodec;
 class LogSession;
 
-//! What a check of exported records found.
+//! Result of checking an export.
 struct AuditReport {
   uint64_t streams = 0;
   uint64_t batches = 0;
   uint64_t records = 0;
-  uint64_t repeated_batches = 0;  //!< Appends whose answer was lost.
-  uint64_t void_charges = 0;      //!< Charges of a key that was billed already.
-  std::vector<std::string> faults;  //!< One line each; empty where all is well.
+  uint64_t repeated_batches = 0;  //!< Repeated appends, as after a lost answer.
+  uint64_t void_charges = 0;      //!< Charges of keys that were billed already.
+  std::vector<std::string> faults;  //!< One line each; empty if consistent.
   std::map<std::string, Budget> budgets;  //!< By organisation.
 };
 
-//! Copies each stream of the log to FOLDER/STREAM.jsonl, going on where an
-//! earlier export ended. Returns the number of new entries.
+//! Copies each stream of the log to FOLDER/STREAM.jsonl, continuing after the
+//! last entry of an earlier export. Returns the number of new entries.
 absl::StatusOr<uint64_t> ExportLog(LogSession& session,
                                    uint32_t shards,
                                    const std::string& folder);
 
-//! Checks an export from the records alone: tags, hash chains, gaps, and every
-//! balance, which it folds anew.
+//! Checks an export without access to the log: HMACs, hash chains, gaps, and
+//! every balance, which it recomputes from the records.
 absl::StatusOr<AuditReport> VerifyExport(const std::string& folder,
                                          const BatchCodec& codec,
                                          int64_t key_window_ms);
 
-//! All records about a request key, with what each came to, in time order.
+//! Describes all records of a request key with their verdicts, one line each,
+//! ordered by time.
 absl::StatusOr<std::vector<std::string>> ExplainKey(const std::string& folder,
                                                     const BatchCodec& codec,
                                                     int64_t key_window_ms,
--- a/src/cli/record_text.h
+++ b/src/cli/record_text.h
@@ -8,13 +8,14 @@
 
 namespace tamaracktrail {
 
-//! A record as key=value pairs for people, the kind first. Thread-safe.
+//! Human-readable form of a record: its kind, then key=value pairs.
+//! Thread-safe.
 std::string RecordText(const Record& record);
 
-//! The request key a record is about; empty for none. Thread-safe.
+//! Request key of a record; empty if it has none. Thread-safe.
 std::string RecordKey(const Record& record);
 
-//! UTC time of a wall clock in ISO 8601. Thread-safe.
+//! Formats a wall clock time as ISO 8601 in UTC. Thread-safe.
 std::string TimeText(Millis wall);
 
 }  // namespace tamaracktrail
--- a/tests/cli/audit_test.cpp
+++ b/tests/cli/audit_test.cpp
@@ -16,7 +16,7 @@
 
 constexpr int64_t kWindowMs = 24 * 3600 * 1000;
 
-//! An export with one budget and three charges by one writer.
+//! An export with one budget and three charges, all by one writer.
 class AuditTest : public testing::Test {
  protected:
   AuditTest()
@@ -70,42 +70,42 @@
   uint64_t sequence_ = 0;
 };
 
-TEST_F(AuditTest, SoundExportRebuildsTheBalance) {
+TEST_F(AuditTest, ValidExportHasNoFaultsAndRebuildsBalance) {
   const AuditReport report = Verify();
   EXPECT_TRUE(report.faults.empty());
   EXPECT_EQ(report.budgets.at("org").charged, 30);
   EXPECT_EQ(report.budgets.at("org").prepaid, 100);
 }
 
-TEST_F(AuditTest, FlippedByteIsFound) {
+TEST_F(AuditTest, CorruptedByteIsReported) {
   payloads_[2][60] = static_cast<char>(payloads_[2][60] ^ 1);
   EXPECT_FALSE(Verify().faults.empty());
 }
 
-TEST_F(AuditTest, DroppedRecordIsFound) {
+TEST_F(AuditTest, MissingEntryIsReported) {
   payloads_[2].clear();
   EXPECT_FALSE(Verify().faults.empty());
   payloads_.erase(payloads_.begin() + 2);
   EXPECT_FALSE(Verify().faults.empty());
 }
 
-TEST_F(AuditTest, DoubledChargeIsCountedAndNotBilled) {
+TEST_F(AuditTest, DuplicateChargeIsCountedButNotBilled) {
   Add({MakeCharge("key1", 10)}, 7);
   const AuditReport report = Verify();
   EXPECT_EQ(report.void_charges, 1u);
   EXPECT_EQ(report.budgets.at("org").charged, 30);
 }
 
-TEST_F(AuditTest, ForgedTopUpIsFound) {
-  const BatchCodec forger("some other key here");
+TEST_F(AuditTest, TopUpAuthenticatedWithAnotherKeyIsReportedAndIgnored) {
+  const BatchCodec other_codec("some other key here");
   payloads_.push_back(
-      forger.Encode({9, 1, "", Millis(1), {TopUp{"org", "x", 9999, ""}}}));
+      other_codec.Encode({9, 1, "", Millis(1), {TopUp{"org", "x", 9999, ""}}}));
   const AuditReport report = Verify();
   EXPECT_FALSE(report.faults.empty());
   EXPECT_EQ(report.budgets.at("org").prepaid, 100);
 }
 
-TEST_F(AuditTest, ExplainShowsARequestsRecords) {
+TEST_F(AuditTest, ExplainListsRecordsOfRequestKey) {
   Verify();
   const auto lines = ExplainKey(folder_, codec_, kWindowMs, "key2");
   ASSERT_TRUE(lines.ok());
