--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -73,7 +73,8 @@
   if (!settings.has_value()) {
     return ExitCode::kBadInput;
   }
-  // Blocked before the tasks start, so that only sigwait gets them.
+  // Blocked before the tasks start their threads, so that only sigwait gets
+  // the signals.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
@@ -85,7 +86,7 @@
   }
   int signal = 0;
   sigwait(&signals, &signal);
-  return instance.Shutdown().ok() ? ExitCode::kOk : ExitCode::kUnclean;
+  return instance.Shutdown().ok() ? ExitCode::kOk : ExitCode::kUncleanShutdown;
 }
 
 ExitCode RunCheck(const Arguments& arguments) {
@@ -95,7 +96,7 @@
     const absl::StatusOr<std::string> text = ReadFile(path);
     if (!text.ok()) {
       faults.push_back({path, "", "", std::string(text.status().message()),
-                        "a file that can be read"});
+                        "a readable file"});
     } else if (text->find("[instance]") != std::string::npos) {
       Settings::Parse(path, *text, &faults);
     } else {
@@ -131,12 +132,13 @@
   if (absl::GetFlag(FLAGS_dry_run)) {
     std::cout << "live version " << view.fold().version() << "\n";
     for (const std::string& it :
-         DifferenceOf(view.fold().configuration().files, next.files)) {
+         DiffFiles(view.fold().configuration().files, next.files)) {
       std::cout << it << "\n";
     }
     return ExitCode::kOk;
   }
-  // An earlier try whose answer was lost may have taken effect.
+  // An earlier publication with this id may have been accepted although its
+  // answer was lost.
   if (const auto version = view.fold().VersionOf(next.id)) {
     std::cout << *version << "\n";
     return ExitCode::kOk;
@@ -146,7 +148,8 @@
   const auto appended =
       session.AppendAndReadBack("control", view, record, Deadline());
   if (!appended.ok()) {
-    std::cerr << "repeat the command with --id " << next.id << "\n";
+    std::cerr << "outcome unknown; repeat the command with --id " << next.id
+              << "\n";
     return Fail(appended.status());
   }
   if (const auto version = view.fold().VersionOf(next.id)) {
@@ -154,7 +157,7 @@
     return ExitCode::kOk;
   }
   std::cerr << "conflict: version " << view.fold().version()
-            << " came first; rebase on it\n";
+            << " was published first; rebase on it\n";
   return ExitCode::kConflict;
 }
 
@@ -162,9 +165,9 @@
   const std::optional<Settings> settings = ReadSettings();
   int64_t tokens = 0;
   const std::string id = absl::GetFlag(FLAGS_id);
-  const bool sound = absl::SimpleAtoi(arguments[1], &tokens) && tokens > 0;
-  if (!sound || id.empty()) {
-    std::cerr << "AMOUNT is a positive integer and --id is required\n";
+  const bool valid = absl::SimpleAtoi(arguments[1], &tokens) && tokens > 0;
+  if (!valid || id.empty()) {
+    std::cerr << "AMOUNT must be a positive integer, and --id is required\n";
     return ExitCode::kBadInput;
   }
   if (!settings.has_value()) {
@@ -206,7 +209,7 @@
   }
   const auto status = nlohmann::json::parse(*body, nullptr, false);
   if (!status.is_object()) {
-    return Fail(absl::DataLossError("the answer is not a status"));
+    return Fail(absl::DataLossError("the answer is not a JSON object"));
   }
   for (const auto& [key, value] : status.items()) {
     if (!value.is_array()) {
@@ -256,7 +259,7 @@
             << " repeated_batches=" << report->repeated_batches
             << " void_charges=" << report->void_charges
             << " faults=" << report->faults.size() << "\n";
-  return report->faults.empty() ? ExitCode::kOk : ExitCode::kTampered;
+  return report->faults.empty() ? ExitCode::kOk : ExitCode::kAuditFailed;
 }
 
 ExitCode RunExplain(const Settings& settings,
@@ -290,7 +293,7 @@
   if (arguments[0] == "explain" && arguments.size() == 2) {
     return RunExplain(*settings, folder, arguments[1]);
   }
-  std::cerr << "audit export, audit verify or audit explain KEY\n";
+  std::cerr << "expected audit export, audit verify or audit explain KEY\n";
   return ExitCode::kBadInput;
 }
 
@@ -299,7 +302,8 @@
   uint64_t incarnation = 0;
   if (!settings.has_value() ||
       !absl::SimpleHexAtoi(arguments[0], &incarnation)) {
-    std::cerr << "INCARNATION is a hexadecimal number, as status prints it\n";
+    std::cerr
+        << "INCARNATION must be a hexadecimal number as printed by status\n";
     return ExitCode::kBadInput;
   }
   const std::string author = absl::GetFlag(FLAGS_author);
@@ -345,7 +349,7 @@
   return ExitCode::kOk;
 }
 
-constexpr size_t kManyArguments = 1000;
+constexpr size_t kMaxArguments = 1000;
 
 constexpr Command kCommands[] = {
     {"serve", "serve --settings FILE",
@@ -353,27 +357,29 @@
      "gracefully.",
      0, 0, RunServe},
     {"check", "check FILE...",
-     "Checks settings and declarations without running anything.", 1,
-     kManyArguments, RunCheck},
+     "Checks settings and declarations without starting an instance.", 1,
+     kMaxArguments, RunCheck},
     {"publish",
      "publish --settings FILE --base VERSION [--id ID] [--author WHO] "
      "[--dry_run] FOLDER...",
      "Publishes the .ini files below the folders as one configuration and "
      "prints its version, or the conflict and the version to rebase on.",
-     1, kManyArguments, RunPublish},
+     1, kMaxArguments, RunPublish},
     {"topup",
      "topup --settings FILE --id ID [--author WHO] ORGANISATION AMOUNT",
-     "Adds prepaid tokens. Repeating it with the same id adds nothing.", 2, 2,
-     RunTopUp},
+     "Adds prepaid tokens. Repeating the command with the same id has no "
+     "further effect.",
+     2, 2, RunTopUp},
     {"status", "status --at IP:PORT [--json]",
-     "Shows what an instance knows of itself and its peers.", 0, 0, RunStatus},
+     "Prints the status of an instance and what it knows of its peers.", 0, 0,
+     RunStatus},
     {"audit", "audit export|verify|explain KEY --settings FILE --folder FOLDER",
-     "Exports the log, checks an export from its records alone, or shows all "
-     "records about a request key.",
+     "Exports the log, checks an export without access to the log, or prints "
+     "all records of a request key.",
      1, 2, RunAudit},
     {"release", "release --settings FILE --author WHO INCARNATION",
-     "Declares an instance gone for good and returns its shares. Only for an "
-     "instance that certainly does not run.",
+     "Records that an instance has exited for good and releases its shares. "
+     "Use it only if the instance is known not to run.",
      1, 1, RunRelease},
     {"hash-key", "hash-key [--salt SALT] SECRET",
      "Prints the hash of a caller's secret for key_hashes.", 1, 1, RunHashKey},
--- a/src/cli/exit_code.h
+++ b/src/cli/exit_code.h
@@ -3,15 +3,15 @@
 
 namespace tamaracktrail {
 
-//! Exit codes of the program; docs/operators/commands.md has the table.
+//! Exit codes of the program, listed in docs/operators/commands.md.
 enum class ExitCode : int {
   kOk = 0,
-  kFailed = 1,       //!< The command could not do what it was asked.
-  kBadInput = 2,     //!< Arguments, settings or declarations are at fault.
-  kConflict = 3,     //!< Another configuration came first.
-  kUnconfirmed = 4,  //!< The log did not confirm; repeating it is safe.
-  kUnclean = 5,      //!< A shutdown passed its deadline.
-  kTampered = 6,     //!< The audit found records that do not add up.
+  kFailed = 1,           //!< Any other failure.
+  kBadInput = 2,         //!< Invalid arguments, settings or declarations.
+  kConflict = 3,         //!< Another configuration was published first.
+  kUnconfirmed = 4,      //!< Not confirmed by the log; safe to repeat.
+  kUncleanShutdown = 5,  //!< The shutdown exceeded its deadline.
+  kAuditFailed = 6,      //!< The audit found inconsistent records.
 };
 
 }  // namespace tamaracktrail
--- a/src/cli/file_io.h
+++ b/src/cli/file_io.h
@@ -9,11 +9,12 @@
 
 namespace tamaracktrail {
 
-//! Contents of a file. kNotFound with the system's reason.
+//! Contents of a file. Errors: kNotFound with the system's reason.
 absl::StatusOr<std::string> ReadFile(const std::string& path);
 
-//! All files with the suffix .ini below a folder, by path, with paths relative
-//! to it.
+//! All files with the suffix .ini in a folder and its subfolders, sorted by
+//! path. The paths are relative to the folder. Errors: kNotFound with the
+//! system's reason.
 absl::StatusOr<std::vector<ConfigFile>> ReadDeclarations(
     const std::string& folder);
 
--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-uint64_t DrawIncarnation() {
+uint64_t RandomIncarnation() {
   std::random_device device;
   uint64_t incarnation = 0;
   while (incarnation == 0) {
@@ -29,17 +29,17 @@
 
 struct Instance::Parts {
   explicit Parts(const Settings& settings)
-      : incarnation(DrawIncarnation()),
-        shutdown_time(settings.Duration("shutdown", "deadline_ms")),
-        entry(settings.Entry(incarnation), &metrics),
-        coordination(settings.Coordination(incarnation),
+      : incarnation(RandomIncarnation()),
+        shutdown_timeout(settings.Duration("shutdown", "deadline_ms")),
+        entry(settings.EntryOptions(incarnation), &metrics),
+        coordination(settings.CoordinationOptions(incarnation),
                      &metrics,
                      [this](std::vector<EntryNotice> notices) {
                        entry.Notify(std::move(notices));
                      }) {}
 
   uint64_t incarnation;
-  Millis shutdown_time;
+  Millis shutdown_timeout;
   Metrics metrics;
   EntryTask entry;
   CoordinationTask coordination;
@@ -51,7 +51,8 @@
 Instance::~Instance() = default;
 
 absl::Status Instance::Start() {
-  // The entry comes first: the coordination sends it notices from the start.
+  // The entry starts first because the coordination sends it notices as soon as
+  // it runs.
   absl::Status status = parts_->entry.Start(&parts_->coordination);
   if (!status.ok()) {
     return status;
@@ -66,20 +67,21 @@
 }
 
 absl::Status Instance::Shutdown() {
-  constexpr auto kPoll = std::chrono::milliseconds(20);
-  const Millis deadline = MonotonicNow() + parts_->shutdown_time;
+  constexpr auto kPollInterval = std::chrono::milliseconds(20);
+  const Millis deadline = MonotonicNow() + parts_->shutdown_timeout;
   LOG(INFO) << "event=shutdown_started";
   parts_->entry.Drain();
   while (parts_->entry.OpenCalls() > 0 && MonotonicNow() < deadline) {
-    std::this_thread::sleep_for(kPoll);
+    std::this_thread::sleep_for(kPollInterval);
   }
-  const size_t cut = parts_->entry.OpenCalls();
-  const bool left = parts_->coordination.DrainAndLeave(deadline);
+  const size_t aborted_calls = parts_->entry.OpenCalls();
+  const bool exited = parts_->coordination.DrainAndLeave(deadline);
   parts_->entry.Stop();
   parts_->coordination.Stop();
-  LOG(INFO) << "event=shutdown_ended cut=" << cut << " left=" << left;
-  if (cut > 0 || !left) {
-    return absl::DeadlineExceededError("the shutdown deadline passed");
+  LOG(INFO) << "event=shutdown_ended cut=" << aborted_calls
+            << " left=" << exited;
+  if (aborted_calls > 0 || !exited) {
+    return absl::DeadlineExceededError("the shutdown exceeded its deadline");
   }
   return absl::OkStatus();
 }
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -12,8 +12,8 @@
 class Metrics;
 class Settings;
 
-//! A running instance: its tasks and their connections to each other. Use from
-//! one thread.
+//! A running instance: its tasks and how they call each other. Use from one
+//! thread.
 class Instance {
  public:
   explicit Instance(const Settings& settings);
@@ -24,9 +24,10 @@
 
   absl::Status Start();
 
-  //! Refuses new work, lets open requests end, settles, returns shares, appends
-  //! what is left and stops. kDeadlineExceeded where that took too long; what
-  //! is still held is then found by others through evidence of the exit.
+  //! Refuses new requests, waits for open ones, settles charges, returns
+  //! shares, appends the remaining records and stops. Errors: kDeadlineExceeded
+  //! if that exceeds the shutdown deadline; the other instances then recover
+  //! what this one still holds once they have evidence of its exit.
   absl::Status Shutdown();
 
  private:
--- a/src/cli/log_session.h
+++ b/src/cli/log_session.h
@@ -21,11 +21,11 @@
 class HttpClient;
 class HttpLogService;
 
-//! Blocking access of a command to the platform's log. Use from one thread.
+//! Blocking client of the platform's log, for commands. Use from one thread.
 class LogSession {
  public:
-  //! What became of an appended record.
-  struct Appended {
+  //! Offset of an appended record and the verdict of the fold on it.
+  struct AppendResult {
     uint64_t offset = 0;
     FoldVerdict verdict = FoldVerdict::kNotApplicable;
   };
@@ -38,15 +38,18 @@
 
   const BatchCodec* codec() const { return &codec_; }
 
-  //! One page of a stream; `wait` as in LogService.
+  //! Reads one page of a stream; `wait` as in LogService.
   absl::StatusOr<LogPage> Read(const std::string& stream,
                                uint64_t from,
                                Millis wait);
 
+  //! Appends one entry and returns its offset. After an error the entry may or
+  //! may not be in the stream.
   absl::StatusOr<uint64_t> Append(const std::string& stream,
                                   const std::string& payload);
 
-  //! Reads a stream to its end.
+  //! Reads a stream to its end. Errors: those of Read; kNotFound if the log no
+  //! longer has the start of the stream and holds no usable snapshot.
   template <FoldModel Fold>
   absl::Status CatchUp(const std::string& stream, StreamView<Fold>& view) {
     while (true) {
@@ -58,19 +61,21 @@
         view.Feed(it);
       }
       if (page->entries.empty() || view.read_offset() >= page->end) {
-        return view.live() ? absl::OkStatus()
-                           : absl::NotFoundError("no snapshot is kept");
+        return view.live()
+                   ? absl::OkStatus()
+                   : absl::NotFoundError("the log holds no usable snapshot");
       }
     }
   }
 
-  //! Appends one record, repeating the append until it is read back or
-  //! `deadline` passes. kDeadlineExceeded: it may or may not be on the log.
+  //! Appends one record, repeating the append until the record is read back or
+  //! `deadline` passes. Errors: kDeadlineExceeded; the record may or may not be
+  //! in the stream then.
   template <FoldModel Fold>
-  absl::StatusOr<Appended> AppendAndReadBack(const std::string& stream,
-                                             StreamView<Fold>& view,
-                                             Record record,
-                                             Millis deadline) {
+  absl::StatusOr<AppendResult> AppendAndReadBack(const std::string& stream,
+                                                 StreamView<Fold>& view,
+                                                 Record record,
+                                                 Millis deadline) {
     const uint64_t writer = NewWriter();
     LogWriter log_writer(writer, &codec_, LogWriter::Policy{});
     log_writer.Add(std::move(record));
@@ -87,12 +92,13 @@
       for (const LogEntry& entry : page->entries) {
         for (const AppliedBatch& it : view.Feed(entry)) {
           if (it.batch.writer == writer) {
-            return Appended{it.offset, it.verdicts.front()};
+            return AppendResult{it.offset, it.verdicts.front()};
           }
         }
       }
     }
-    return absl::DeadlineExceededError("the log did not confirm the record");
+    return absl::DeadlineExceededError(
+        "the log did not confirm the record in time");
   }
 
  private:
--- a/src/cli/publication.cpp
+++ b/src/cli/publication.cpp
@@ -52,8 +52,8 @@
   return out;
 }
 
-std::vector<std::string> DifferenceOf(const std::vector<ConfigFile>& before,
-                                      const std::vector<ConfigFile>& after) {
+std::vector<std::string> DiffFiles(const std::vector<ConfigFile>& before,
+                                   const std::vector<ConfigFile>& after) {
   std::map<std::string, std::string> old_files;
   std::map<std::string, std::string> new_files;
   for (const ConfigFile& it : before) {
@@ -73,15 +73,15 @@
       out.push_back("added " + path);
     } else if (old_files[path] != text) {
       out.push_back("changed " + path);
-      const std::set<std::string> was = LinesOf(old_files[path]);
-      const std::set<std::string> is = LinesOf(text);
-      for (const std::string& it : was) {
-        if (!is.contains(it)) {
+      const std::set<std::string> old_lines = LinesOf(old_files[path]);
+      const std::set<std::string> new_lines = LinesOf(text);
+      for (const std::string& it : old_lines) {
+        if (!new_lines.contains(it)) {
           out.push_back("  - " + it);
         }
       }
-      for (const std::string& it : is) {
-        if (!was.contains(it)) {
+      for (const std::string& it : new_lines) {
+        if (!old_lines.contains(it)) {
           out.push_back("  + " + it);
         }
       }
--- a/src/cli/publication.h
+++ b/src/cli/publication.h
@@ -10,17 +10,18 @@
 
 namespace tamaracktrail {
 
-//! Collects and checks the declarations below `folders`. Where `id` is empty it
-//! is derived from the contents and the base, so that repeating the same
+//! Collects and checks the declarations in `folders`. An empty `id` is replaced
+//! by one derived from the contents and the base, so that a repeated
 //! publication is recognized.
 Configuration CollectDeclarations(const std::vector<std::string>& folders,
                                   uint64_t base,
                                   const std::string& id,
                                   std::vector<SettingFault>* faults);
 
-//! Lines that tell what `after` changes: added, removed and changed files.
-std::vector<std::string> DifferenceOf(const std::vector<ConfigFile>& before,
-                                      const std::vector<ConfigFile>& after);
+//! Lines that list the removed, changed and added files, and for a changed file
+//! the lines that were removed and added.
+std::vector<std::string> DiffFiles(const std::vector<ConfigFile>& before,
+                                   const std::vector<ConfigFile>& after);
 
 }  // namespace tamaracktrail
 
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -13,7 +13,9 @@
 
 namespace {
 
-int Usage(std::ostream& out, std::span<const Command> commands, ExitCode code) {
+int PrintUsage(std::ostream& out,
+               std::span<const Command> commands,
+               ExitCode code) {
   out << "usage: tamaracktrail COMMAND ...\n";
   for (const Command& it : commands) {
     out << "  " << it.synopsis << "\n";
@@ -31,7 +33,7 @@
   return nullptr;
 }
 
-//! Logs go to stderr, one line an event; glog's own flags stay unused.
+//! Logs go to stderr, one line per event. glog's own flags are not used.
 void SetUpLogging(const char* program) {
   FLAGS_logtostderr = true;
   FLAGS_log_prefix = false;
@@ -42,13 +44,14 @@
 
 int RunCommand(int argc, char** argv, std::span<const Command> commands) {
   if (argc < 2) {
-    return Usage(std::cerr, commands, ExitCode::kBadInput);
+    return PrintUsage(std::cerr, commands, ExitCode::kBadInput);
   }
   const Command* command = FindCommand(commands, argv[1]);
   if (command == nullptr) {
-    const bool asked = std::strcmp(argv[1], "--help") == 0;
-    return asked ? Usage(std::cout, commands, ExitCode::kOk)
-                 : Usage(std::cerr, commands, ExitCode::kBadInput);
+    const bool help_requested = std::strcmp(argv[1], "--help") == 0;
+    return help_requested
+               ? PrintUsage(std::cout, commands, ExitCode::kOk)
+               : PrintUsage(std::cerr, commands, ExitCode::kBadInput);
   }
   for (int i = 2; i < argc; ++i) {
     if (std::strcmp(argv[i], "--help") == 0) {
@@ -58,8 +61,8 @@
     }
   }
   SetUpLogging(argv[0]);
-  const std::vector<char*> rest = absl::ParseCommandLine(argc, argv);
-  Command::Arguments arguments(rest.begin() + 2, rest.end());
+  const std::vector<char*> positional = absl::ParseCommandLine(argc, argv);
+  Command::Arguments arguments(positional.begin() + 2, positional.end());
   if (arguments.size() < command->min_arguments ||
       arguments.size() > command->max_arguments) {
     std::cerr << "usage: tamaracktrail " << command->synopsis << "\n";
--- a/src/cli/run.h
+++ b/src/cli/run.h
@@ -7,8 +7,8 @@
 
 struct Command;
 
-//! Runs the command that the program's arguments name, and returns the exit
-//! code of the process. To be called once, from `main`.
+//! Runs the command that the program's arguments name and returns the exit code
+//! of the process. Call it once, from `main`.
 int RunCommand(int argc, char** argv, std::span<const Command> commands);
 
 }  // namespace tamaracktrail
--- a/src/cli/setting_def.h
+++ b/src/cli/setting_def.h
@@ -14,13 +14,13 @@
   const char* key = "";
   Kind kind = Kind::kText;
   bool required = false;
-  double fallback = 0;  //!< Of a number or an integer.
+  double default_value = 0;  //!< For kInteger and kNumber.
   double min = 0;
   double max = 0;
   const char* description = "";
 };
 
-//! All keys of the settings file, by section. Thread-safe.
+//! All keys of the settings file, grouped by section. Thread-safe.
 std::span<const SettingDef> AllSettings();
 
 }  // namespace tamaracktrail
--- a/src/cli/settings.cpp
+++ b/src/cli/settings.cpp
@@ -13,11 +13,11 @@
 
 constexpr size_t kMinKeyBytes = 16;
 
-std::string NameOf(const std::string& section, const std::string& key) {
+std::string QualifiedKey(const std::string& section, const std::string& key) {
   return section + "." + key;
 }
 
-bool IsUrl(const std::string& text) {
+bool IsHttpUrl(const std::string& text) {
   GUri* uri = g_uri_parse(text.c_str(), G_URI_FLAGS_NONE, nullptr);
   if (uri == nullptr) {
     return false;
@@ -27,17 +27,18 @@
   return (scheme == "http" || scheme == "https") && !text.ends_with("/");
 }
 
-//! Checks a text that is present; says what is allowed where it is wrong.
-const char* FaultOf(SettingDef::Kind kind, const std::string& text) {
+//! Null if `text` is valid for the kind, else a description of valid values.
+const char* AllowedIfInvalid(SettingDef::Kind kind, const std::string& text) {
   switch (kind) {
     case SettingDef::Kind::kAddress:
       return IsAddress(text) ? nullptr : "IP:port with a numeric IP";
     case SettingDef::Kind::kUrl:
-      return IsUrl(text) ? nullptr : "an http or https URL without a last /";
+      return IsHttpUrl(text) ? nullptr
+                             : "an http or https URL without a trailing /";
     case SettingDef::Kind::kFile:
-      return ReadFile(text).ok() ? nullptr : "a file that can be read";
+      return ReadFile(text).ok() ? nullptr : "a readable file";
     default:
-      return text.empty() ? "a text that is not empty" : nullptr;
+      return text.empty() ? "a non-empty value" : nullptr;
   }
 }
 
@@ -48,7 +49,7 @@
   const absl::StatusOr<std::string> text = ReadFile(path);
   if (!text.ok()) {
     faults->push_back({path, "", "", std::string(text.status().message()),
-                       "a file that can be read"});
+                       "a readable file"});
     return Settings();
   }
   return Parse(path, *text, faults);
@@ -60,16 +61,16 @@
   Settings out;
   IniReader reader(path, text, faults);
   for (const SettingDef& def : AllSettings()) {
-    const std::string name = NameOf(def.section, def.key);
+    const std::string name = QualifiedKey(def.section, def.key);
     switch (def.kind) {
       case SettingDef::Kind::kInteger:
         out.numbers_[name] = static_cast<double>(reader.Integer(
-            def.section, def.key, static_cast<int64_t>(def.fallback),
+            def.section, def.key, static_cast<int64_t>(def.default_value),
             static_cast<int64_t>(def.min), static_cast<int64_t>(def.max)));
         continue;
       case SettingDef::Kind::kNumber:
-        out.numbers_[name] =
-            reader.Number(def.section, def.key, def.fallback, def.min, def.max);
+        out.numbers_[name] = reader.Number(def.section, def.key,
+                                           def.default_value, def.min, def.max);
         continue;
       case SettingDef::Kind::kList:
         out.lists_[name] = reader.List(def.section, def.key);
@@ -86,14 +87,14 @@
     if (!value.has_value()) {
       continue;
     }
-    if (const char* allowed = FaultOf(def.kind, *value)) {
+    if (const char* allowed = AllowedIfInvalid(def.kind, *value)) {
       reader.AddFault(def.section, def.key, *value, allowed);
     }
     out.texts_[name] = *value;
   }
-  const bool half = out.Text("tls", "certificate").empty() !=
-                    out.Text("tls", "private_key").empty();
-  if (half) {
+  const bool one_missing = out.Text("tls", "certificate").empty() !=
+                           out.Text("tls", "private_key").empty();
+  if (one_missing) {
     reader.AddFault("tls", "", "", "certificate and private_key, or neither");
   }
   const std::string key_file = out.Text("fleet", "key_file");
@@ -101,7 +102,7 @@
     out.fleet_key_ = std::string(absl::StripAsciiWhitespace(*key));
     if (out.fleet_key_.size() < kMinKeyBytes) {
       reader.AddFault("fleet", "key_file", key_file,
-                      "a file with 16 bytes or more");
+                      "a file with at least 16 bytes");
     }
   }
   reader.CheckNoOthers();
@@ -110,13 +111,13 @@
 
 std::string Settings::Text(const std::string& section,
                            const std::string& key) const {
-  auto it = texts_.find(NameOf(section, key));
+  auto it = texts_.find(QualifiedKey(section, key));
   return it == texts_.end() ? "" : it->second;
 }
 
 double Settings::Number(const std::string& section,
                         const std::string& key) const {
-  return numbers_.at(NameOf(section, key));
+  return numbers_.at(QualifiedKey(section, key));
 }
 
 Millis Settings::Duration(const std::string& section,
@@ -126,10 +127,11 @@
 
 std::vector<std::string> Settings::List(const std::string& section,
                                         const std::string& key) const {
-  return lists_.at(NameOf(section, key));
+  return lists_.at(QualifiedKey(section, key));
 }
 
-CoordinationTask::Options Settings::Coordination(uint64_t incarnation) const {
+CoordinationTask::Options Settings::CoordinationOptions(
+    uint64_t incarnation) const {
   CoordinationTask::Options out;
   out.self = InstanceId{Text("instance", "address"), incarnation};
   out.key = fleet_key_;
@@ -154,7 +156,7 @@
   return out;
 }
 
-EntryTask::Options Settings::Entry(uint64_t incarnation) const {
+EntryTask::Options Settings::EntryOptions(uint64_t incarnation) const {
   EntryTask::Options out;
   out.incarnation = incarnation;
   out.data_centre = Text("instance", "data_centre");
@@ -176,9 +178,9 @@
   limits.slow_reader = Duration("limits", "slow_reader_ms");
   limits.idle_timeout = Duration("limits", "endpoint_idle_ms");
   limits.retry_ratio = Number("limits", "retry_ratio");
-  // An entry waits a little longer than its keeper may.
-  constexpr Millis kSlack{2500};
-  limits.reserve_timeout = Duration("budget", "reserve_wait_ms") + kSlack;
+  // An entry waits 2.5 s longer than its keeper may take to answer.
+  constexpr Millis kReplyMargin{2500};
+  limits.reserve_timeout = Duration("budget", "reserve_wait_ms") + kReplyMargin;
   return out;
 }
 
--- a/src/cli/settings.h
+++ b/src/cli/settings.h
@@ -12,15 +12,16 @@
 
 namespace tamaracktrail {
 
-//! The checked contents of a settings file. Immutable once read.
+//! Validated contents of a settings file. Immutable once read.
 class Settings {
  public:
-  //! Reads and checks a file; adds all that is wrong to `faults`. The result
-  //! counts only where it added none.
+  //! Reads and checks a file and adds everything invalid to `faults`. The
+  //! result is only valid if it added none.
   static Settings Read(const std::string& path,
                        std::vector<SettingFault>* faults);
 
-  //! Checks the text of a settings file. `path` is for faults only.
+  //! Parses and checks the text of a settings file as Read does. `path` is only
+  //! used in faults.
   static Settings Parse(const std::string& path,
                         const std::string& text,
                         std::vector<SettingFault>* faults);
@@ -31,12 +32,12 @@
   std::vector<std::string> List(const std::string& section,
                                 const std::string& key) const;
 
-  //! The fleet's shared key, read from its file.
+  //! The fleet's shared key, read from fleet.key_file.
   const std::string& fleet_key() const { return fleet_key_; }
 
-  //! Options for an instance with this incarnation.
-  CoordinationTask::Options Coordination(uint64_t incarnation) const;
-  EntryTask::Options Entry(uint64_t incarnation) const;
+  //! Options of the tasks of an instance with this incarnation.
+  CoordinationTask::Options CoordinationOptions(uint64_t incarnation) const;
+  EntryTask::Options EntryOptions(uint64_t incarnation) const;
 
  private:
   std::map<std::string, std::string> texts_;
--- a/src/cli/simple_get.h
+++ b/src/cli/simple_get.h
@@ -7,8 +7,8 @@
 
 namespace tamaracktrail {
 
-//! Fetches a URL and waits for the answer. An HTTP status other than 200 is an
-//! error.
+//! Sends a GET request and blocks until the answer arrives; returns its body.
+//! Errors: those of HttpClient; kUnavailable for an HTTP status other than 200.
 absl::StatusOr<std::string> SimpleGet(const std::string& url);
 
 }  // namespace tamaracktrail
--- a/tests/cli/settings_test.cpp
+++ b/tests/cli/settings_test.cpp
@@ -20,7 +20,7 @@
     std::ofstream(key_file_) << "0123456789abcdef";
   }
 
-  std::string Sound() const {
+  std::string ValidSettings() const {
     return absl::StrCat(
         "[instance]\naddress = 127.0.0.1:7000\nlisten = 127.0.0.1:8000\n"
         "data_centre = dc\n[fleet]\nkey_file = ",
@@ -36,31 +36,31 @@
   std::string key_file_;
 };
 
-TEST_F(SettingsTest, SoundFileHasNoFaultsAndItsDefaults) {
+TEST_F(SettingsTest, ValidFileHasNoFaultsAndUsesDefaults) {
   std::vector<SettingFault> faults;
-  const Settings settings = Settings::Parse("f.ini", Sound(), &faults);
+  const Settings settings = Settings::Parse("f.ini", ValidSettings(), &faults);
   EXPECT_TRUE(faults.empty()) << faults[0].ToString();
   EXPECT_EQ(settings.Number("budget", "hold"), 0.5);
-  EXPECT_EQ(settings.Coordination(7).self.incarnation, 7u);
+  EXPECT_EQ(settings.CoordinationOptions(7).self.incarnation, 7u);
 }
 
-TEST_F(SettingsTest, AllFaultsAreFoundInOneRun) {
+TEST_F(SettingsTest, InvalidFileReportsAllFaultsAtOnce) {
   const auto faults = FaultsOf(
       "[instance]\naddress = nowhere\nlisten = 127.0.0.1:8000\n"
       "[fleet]\nkey_file = /no/such/file\nledger_shards = many\nodd = 1\n"
       "[platform]\nlog_url = ftp:/x\n[budget]\nhold = 2\n[tls]\n"
       "certificate = /no/such/file\n[other]\na = b\n");
-  std::set<std::string> places;
+  std::set<std::string> faulty_keys;
   for (const SettingFault& it : faults) {
     EXPECT_EQ(it.file, "f.ini");
     EXPECT_FALSE(it.allowed.empty());
-    places.insert(it.section + "." + it.key);
+    faulty_keys.insert(it.section + "." + it.key);
   }
   for (const char* it :
        {"instance.address", "instance.data_centre", "fleet.key_file",
         "fleet.ledger_shards", "fleet.odd", "platform.log_url", "budget.hold",
         "tls.certificate", "tls.", "other.a"}) {
-    EXPECT_TRUE(places.contains(it)) << it;
+    EXPECT_TRUE(faulty_keys.contains(it)) << it;
   }
 }
 
@@ -76,8 +76,8 @@
               std::string::npos)
         << it.key;
     if (it.max > 0) {
-      const std::string numbers = absl::StrFormat("| %.10g | %.10g..%.10g |",
-                                                  it.fallback, it.min, it.max);
+      const std::string numbers = absl::StrFormat(
+          "| %.10g | %.10g..%.10g |", it.default_value, it.min, it.max);
       EXPECT_NE(page->find(numbers), std::string::npos) << it.key;
     }
   }
@@ -92,7 +92,7 @@
     "[service m]\nkind = model\nowner = team\n"
     "[endpoint e]\naddress = 127.0.0.1:9\nservice = m\ndata_centre = dc\n";
 
-TEST(CatalogTest, SoundDeclarationsParse) {
+TEST(CatalogTest, ValidDeclarationsHaveNoFaults) {
   std::vector<SettingFault> faults;
   const Catalog it = ParseCatalog(3, {{"a.ini", kDeclarations}}, &faults);
   EXPECT_TRUE(faults.empty());
@@ -100,13 +100,13 @@
   EXPECT_NE(it.ServiceOfModel("m"), nullptr);
 }
 
-//! Text that is added to sound declarations, and the place of its fault.
+//! Text to add to valid declarations, and the section of the expected fault.
 struct DeclarationFault {
   const char* text;
   const char* section;
 };
 
-TEST(CatalogTest, EachFaultIsNamedByItsSection) {
+TEST(CatalogTest, InvalidDeclarationReportsItsSection) {
   const DeclarationFault kCases[] = {
       {"[budget c]\norganisation = nobody\n", "budget c"},
       {"[budget c]\norganisation = org\n", "budget c"},
@@ -127,14 +127,14 @@
   for (const DeclarationFault& it : kCases) {
     std::vector<SettingFault> faults;
     ParseCatalog(0, {{"a.ini", kDeclarations}, {"b.ini", it.text}}, &faults);
-    const bool named = std::any_of(
+    const bool reported = std::any_of(
         faults.begin(), faults.end(),
         [&](const auto& fault) { return fault.section == it.section; });
-    EXPECT_TRUE(named) << it.text;
+    EXPECT_TRUE(reported) << it.text;
   }
 }
 
-TEST(CatalogTest, TokenNamesItsOrganisationAndProvesItsKey) {
+TEST(CatalogTest, TokenIsAcceptedOnlyWithItsOrganisationsSecret) {
   OrganisationSpec spec;
   spec.name = "org";
   spec.key_hashes = {HashKey("salt", "secret")};
@@ -146,7 +146,7 @@
   EXPECT_EQ(catalog.Authenticate("nobody.secret"), nullptr);
 }
 
-TEST(CatalogTest, PathsDecideWhatMayBeRepeated) {
+TEST(CatalogTest, MethodAndPathPrefixDecideWhetherACallIsRepeatable) {
   ServiceSpec spec;
   spec.non_repeatable = {"POST /fees"};
   EXPECT_FALSE(spec.Repeatable("POST", "/fees/7"));
@@ -154,9 +154,9 @@
   EXPECT_TRUE(spec.Repeatable("POST", "/grades"));
 }
 
-TEST(PublicationTest, DifferenceNamesFilesAndLines) {
-  const auto lines = DifferenceOf({{"a", "x\ny\n"}, {"gone", ""}},
-                                  {{"a", "x\nz\n"}, {"new", ""}});
+TEST(PublicationTest, DiffListsRemovedChangedAndAddedFilesAndLines) {
+  const auto lines = DiffFiles({{"a", "x\ny\n"}, {"gone", ""}},
+                               {{"a", "x\nz\n"}, {"new", ""}});
   EXPECT_EQ(lines, (std::vector<std::string>{"removed gone", "changed a",
                                              "  - y", "  + z", "added new"}));
 }
