--- a/tests/soak/fleet_run.cpp
+++ b/tests/soak/fleet_run.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr int kOrganisations = 3;
-constexpr Millis kStep{100};
+constexpr int kOrganisationCount = 3;
+constexpr Millis kStepTime{100};
 
-//! Requests, retries and faults of one run.
+//! Sends the requests and retries of one run and injects its faults.
 class FleetRun {
  public:
   FleetRun(uint64_t seed, int seconds)
@@ -24,20 +24,20 @@
 
   FleetRunReport Run() {
     fleet_.Publish(0, "first");
-    for (int i = 0; i < kOrganisations; ++i) {
-      fleet_.TopUpBudget(Organisation(i), Draw(2000, 60000));
+    for (int i = 0; i < kOrganisationCount; ++i) {
+      fleet_.TopUpBudget(OrganisationName(i), RandomInt(2000, 60000));
     }
     fleet_.RunFor(kSecond * 3);
     const Millis end = fleet_.now() + kSecond * seconds_;
     while (fleet_.now() < end) {
       Step();
-      fleet_.RunFor(kStep);
+      fleet_.RunFor(kStepTime);
     }
-    fleet_.Heal();
+    fleet_.EndAllFaults();
     fleet_.RunFor(kMinute);
-    fleet_.Heal();  // Restarts those that were still draining.
+    fleet_.EndAllFaults();  // Restarts instances that were still draining.
     fleet_.RunFor(kMinute * 3);
-    Judge();
+    CheckResults();
     return report_;
   }
 
@@ -54,156 +54,162 @@
     options.coordinator.ledger.snapshot_records = 100;
     options.coordinator.control_snapshot_records = 50;
     options.coordinator.resweep = kSecond * 20;
-    options.keep = seed % 3 == 0 ? 400 : SIZE_MAX;
+    options.log_retention = seed % 3 == 0 ? 400 : SIZE_MAX;
     return options;
   }
 
-  static std::string Organisation(int i) { return absl::StrCat("org", i); }
+  static std::string OrganisationName(int i) { return absl::StrCat("org", i); }
 
-  int64_t Draw(int64_t low, int64_t high) {
+  int64_t RandomInt(int64_t low, int64_t high) {
     return std::uniform_int_distribution<int64_t>(low, high)(fleet_.random());
   }
-  bool Chance(double part) {
-    return std::uniform_real_distribution<double>(0, 1)(fleet_.random()) < part;
+  bool Chance(double probability) {
+    return std::uniform_real_distribution<double>(0, 1)(fleet_.random()) <
+           probability;
   }
-  size_t AnyInstance() {
+  size_t RandomInstance() {
     return static_cast<size_t>(
-        Draw(0, static_cast<int64_t>(fleet_.size()) - 1));
+        RandomInt(0, static_cast<int64_t>(fleet_.size()) - 1));
   }
 
   void Step() {
-    const int64_t calls = Draw(0, 4);
+    const int64_t calls = RandomInt(0, 4);
     for (int64_t i = 0; i < calls; ++i) {
-      CallOnce();
+      SendRequest();
     }
     if (Chance(0.02)) {
-      fleet_.TopUpBudget(Organisation(static_cast<int>(Draw(0, 2))),
-                         Draw(500, 5000));
+      fleet_.TopUpBudget(OrganisationName(static_cast<int>(RandomInt(0, 2))),
+                         RandomInt(500, 5000));
     }
     if (Chance(0.02)) {
-      const uint64_t base = Chance(0.5) ? published_ : published_ / 2;
-      published_ = fleet_.Publish(base, absl::StrCat("c", Draw(0, 1 << 30)));
+      const uint64_t base = Chance(0.5) ? config_version_ : config_version_ / 2;
+      config_version_ =
+          fleet_.Publish(base, absl::StrCat("c", RandomInt(0, 1 << 30)));
     }
     if (Chance(0.03)) {
-      InjectFault();
+      InjectRandomFault();
     }
     if (Chance(0.012)) {
-      InjectFault();
-      InjectFault();
+      InjectRandomFault();
+      InjectRandomFault();
     }
   }
 
-  void CallOnce() {
-    std::string organisation = Organisation(static_cast<int>(Draw(0, 2)));
+  void SendRequest() {
+    std::string organisation =
+        OrganisationName(static_cast<int>(RandomInt(0, 2)));
     std::string key = absl::StrCat("key", ++next_key_);
     bool repeatable = Chance(0.6);
-    int64_t worst_case = Draw(5, 400);
-    // A retry, or a duplicate at the same moment, under a former key.
-    if (!sent_.empty() && Chance(0.3)) {
-      const Sent& it = sent_[static_cast<size_t>(
-          Draw(0, static_cast<int64_t>(sent_.size()) - 1))];
+    int64_t worst_case = RandomInt(5, 400);
+    // Reuses an earlier key, as a retry or a concurrent duplicate does.
+    if (!sent_requests_.empty() && Chance(0.3)) {
+      const SentRequest& it = sent_requests_[static_cast<size_t>(
+          RandomInt(0, static_cast<int64_t>(sent_requests_.size()) - 1))];
       organisation = it.organisation;
       key = it.key;
       repeatable = it.repeatable;
       worst_case = it.worst_case;
     } else {
-      sent_.push_back({organisation, key, repeatable, worst_case});
+      sent_requests_.push_back({organisation, key, repeatable, worst_case});
     }
     const int copies = Chance(0.1) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
-      fleet_.Call(AnyInstance(), organisation, key, worst_case, repeatable);
+      fleet_.Call(RandomInstance(), organisation, key, worst_case, repeatable);
     }
   }
 
-  void For(const char* kind,
-           Millis time,
-           std::function<void()> start,
-           std::function<void()> end) {
+  void StartFault(const char* kind,
+                  Millis duration,
+                  std::function<void()> start,
+                  std::function<void()> end) {
     ++report_.faults[kind];
     start();
-    ends_.emplace_back(fleet_.now() + time, std::move(end));
+    fault_ends_.emplace_back(fleet_.now() + duration, std::move(end));
   }
 
-  void EndFaults() {
-    std::vector<std::pair<Millis, std::function<void()>>> later;
-    for (auto& [time, end] : ends_) {
+  void EndExpiredFaults() {
+    std::vector<std::pair<Millis, std::function<void()>>> remaining;
+    for (auto& [time, end] : fault_ends_) {
       if (time <= fleet_.now()) {
         end();
       } else {
-        later.emplace_back(time, std::move(end));
+        remaining.emplace_back(time, std::move(end));
       }
     }
-    ends_ = std::move(later);
+    fault_ends_ = std::move(remaining);
   }
 
-  void InjectFault() {
-    EndFaults();
-    const Millis time(Draw(200, 15000));
-    const size_t a = AnyInstance();
-    const size_t b = AnyInstance();
-    const int centre = static_cast<int>(Draw(0, 1));
-    switch (Draw(0, 8)) {
+  void InjectRandomFault() {
+    EndExpiredFaults();
+    const Millis duration(RandomInt(200, 15000));
+    const size_t instance = RandomInstance();
+    const size_t other = RandomInstance();
+    const int centre = static_cast<int>(RandomInt(0, 1));
+    switch (RandomInt(0, 8)) {
       case 0:
-        return For(
-            "kill", time, [=, this] { fleet_.Kill(a); },
-            [=, this] { fleet_.Restart(a); });
+        return StartFault(
+            "kill", duration, [=, this] { fleet_.Kill(instance); },
+            [=, this] { fleet_.Restart(instance); });
       case 1:
-        return For(
-            "pause", time, [=, this] { fleet_.Pause(a); },
-            [=, this] { fleet_.Wake(a); });
+        return StartFault(
+            "pause", duration, [=, this] { fleet_.Pause(instance); },
+            [=, this] { fleet_.Wake(instance); });
       case 2:
-        return For(
-            "log_down", time, [=, this] { fleet_.SetLogDown(true); },
+        return StartFault(
+            "log_down", duration, [=, this] { fleet_.SetLogDown(true); },
             [=, this] { fleet_.SetLogDown(false); });
       case 3:
-        return For(
-            "cut_from_log", time,
+        return StartFault(
+            "cut_from_log", duration,
             [=, this] { fleet_.CutFromLog(centre, true); },
             [=, this] { fleet_.CutFromLog(centre, false); });
       case 4:
-        return For(
-            "lost_answers", time, [=, this] { fleet_.LoseAnswers(0.5); },
-            [=, this] { fleet_.LoseAnswers(0); });
+        return StartFault(
+            "lost_answers", duration,
+            [=, this] { fleet_.SetLostAnswerRate(0.5); },
+            [=, this] { fleet_.SetLostAnswerRate(0); });
       case 5:
-        return For(
-            "lost_messages", time, [=, this] { fleet_.LoseMessages(0.3); },
-            [=, this] { fleet_.LoseMessages(0); });
+        return StartFault(
+            "lost_messages", duration,
+            [=, this] { fleet_.SetLostMessageRate(0.3); },
+            [=, this] { fleet_.SetLostMessageRate(0); });
       case 6:
-        return For(
-            "cut_one_way", time, [=, this] { fleet_.CutLink(a, b, true); },
-            [=, this] { fleet_.CutLink(a, b, false); });
+        return StartFault(
+            "cut_one_way", duration,
+            [=, this] { fleet_.CutLink(instance, other, true); },
+            [=, this] { fleet_.CutLink(instance, other, false); });
       case 7:
-        return For(
-            "cut_calls", time, [=, this] { fleet_.CutCalls(0.4); },
-            [=, this] { fleet_.CutCalls(0); });
+        return StartFault(
+            "cut_calls", duration, [=, this] { fleet_.SetCutCallRate(0.4); },
+            [=, this] { fleet_.SetCutCallRate(0); });
       default:
-        return For(
-            "drain", time, [=, this] { fleet_.Drain(a); },
-            [=, this] { fleet_.Restart(a); });
+        return StartFault(
+            "drain", duration, [=, this] { fleet_.Drain(instance); },
+            [=, this] { fleet_.Restart(instance); });
     }
   }
 
-  void Judge() {
-    for (const auto& [attempt, it] : fleet_.told()) {
+  void CheckResults() {
+    for (const auto& [attempt, it] : fleet_.outcomes()) {
       ++report_.calls;
       if (!it.done) {
         continue;
       }
       report_.delivered += it.code == ResultCode::kOk ? 1 : 0;
       report_.refused += it.run_state == RunState::kNotRun ? 1 : 0;
-      report_.false_refusals += it.false_refusal ? 1 : 0;
+      report_.false_refusals += it.falsely_refused ? 1 : 0;
     }
-    const FakeFleet::Judgement judgement = fleet_.Judge();
-    report_.lost_charges = judgement.lost;
-    report_.violation = judgement.violation;
+    const FakeFleet::CheckResult result = fleet_.Check();
+    report_.lost_charges = result.lost_charges;
+    report_.violation = result.violation;
     for (size_t i = 0; i < fleet_.size(); ++i) {
       const CoordinatorStatus status =
           fleet_.coordinator(i).Status(fleet_.now());
       report_.stuck_tokens =
           std::max(report_.stuck_tokens, status.stuck_tokens);
-      const bool settled = status.backlog == 0 &&
-                           status.charges_in_custody == 0 && status.joined;
-      if (!settled && report_.violation.empty()) {
+      const bool quiescent = status.backlog == 0 &&
+                             status.charges_in_custody == 0 && status.joined;
+      if (!quiescent && report_.violation.empty()) {
         report_.violation =
             absl::StrCat("instance ", i, " did not settle: backlog ",
                          status.backlog, ", custody ",
@@ -212,7 +218,7 @@
     }
   }
 
-  struct Sent {
+  struct SentRequest {
     std::string organisation;
     std::string key;
     bool repeatable = true;
@@ -222,10 +228,10 @@
   int seconds_;
   FakeFleet fleet_;
   FleetRunReport report_;
-  std::vector<Sent> sent_;
-  std::vector<std::pair<Millis, std::function<void()>>> ends_;
+  std::vector<SentRequest> sent_requests_;
+  std::vector<std::pair<Millis, std::function<void()>>> fault_ends_;
   uint64_t next_key_ = 0;
-  uint64_t published_ = 1;
+  uint64_t config_version_ = 1;
 };
 
 }  // namespace
--- a/tests/soak/fleet_run_test.cpp
+++ b/tests/soak/fleet_run_test.cpp
@@ -9,7 +9,7 @@
 
 class FleetRunTest : public testing::TestWithParam<uint64_t> {};
 
-TEST_P(FleetRunTest, PromisesHoldUnderDrawnFaults) {
+TEST_P(FleetRunTest, InvariantsHoldUnderRandomFaults) {
   const FleetRunReport report = RunFleet(GetParam(), kSimulatedSeconds);
   EXPECT_EQ(report.violation, "");
   EXPECT_GT(report.delivered, 0u);
@@ -19,9 +19,9 @@
                          FleetRunTest,
                          testing::Range<uint64_t>(1, 13));
 
-// Seeds that have shown a fault once; git log tells what each was.
+// Seeds that once exposed a fault; the commit history describes each.
 INSTANTIATE_TEST_SUITE_P(
-    FormerFaults,
+    RegressionSeeds,
     FleetRunTest,
     testing::Values(81, 91, 110, 1066, 2015, 2044, 3039, 4020));
 
--- a/tests/support/event_queue.h
+++ b/tests/support/event_queue.h
@@ -10,19 +10,21 @@
 
 namespace tamaracktrail {
 
-//! Events in order of time, then of insertion. Time is passed, never read.
+//! Simulated-time event queue, ordered by time, then by insertion. It never
+//! reads a clock: RunUntil() advances now().
 class EventQueue {
  public:
   Millis now() const { return now_; }
 
   void At(Millis time, std::function<void()> event) {
-    events_.emplace(std::pair(std::max(time, now_), next_++), std::move(event));
+    events_.emplace(std::pair(std::max(time, now_), next_sequence_++),
+                    std::move(event));
   }
   void After(Millis delay, std::function<void()> event) {
     At(now_ + delay, std::move(event));
   }
 
-  //! Runs all events up to `end`.
+  //! Runs all events that are due until `end`, then sets now() to `end`.
   void RunUntil(Millis end) {
     while (!events_.empty() && events_.begin()->first.first <= end) {
       auto it = events_.begin();
@@ -36,7 +38,7 @@
 
  private:
   Millis now_;
-  uint64_t next_ = 0;
+  uint64_t next_sequence_ = 0;
   std::map<std::pair<Millis, uint64_t>, std::function<void()>> events_;
 };
 
--- a/tests/support/fake_fleet.cpp
+++ b/tests/support/fake_fleet.cpp
@@ -19,7 +19,7 @@
 
 FakeFleet::FakeFleet(const Options& options)
     : options_(options), random_(options.seed), codec_("a key for tests") {
-  log_.set_keep(options.keep);
+  log_.set_keep(options.log_retention);
   for (int centre = 0; centre < options.data_centres; ++centre) {
     for (int i = 0; i < options.instances; ++i) {
       Node node;
@@ -36,28 +36,28 @@
 
 FakeFleet::~FakeFleet() = default;
 
-Millis FakeFleet::Wall() const {
+Millis FakeFleet::WallNow() const {
   return kWallStart + events_.now();
 }
 
-int64_t FakeFleet::Random(int64_t low, int64_t high) {
+int64_t FakeFleet::RandomInt(int64_t low, int64_t high) {
   return std::uniform_int_distribution<int64_t>(low, high)(random_);
 }
 
-bool FakeFleet::Chance(double part) {
-  return std::uniform_real_distribution<double>(0, 1)(random_) < part;
+bool FakeFleet::Chance(double probability) {
+  return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
 }
 
 void FakeFleet::Start(size_t i) {
   Node& node = nodes_[i];
-  ++node.life;
+  ++node.generation;
   node.alive = true;
   node.paused = false;
   node.draining = false;
-  node.leaving = false;
-  node.held.clear();
+  node.exit_queued = false;
+  node.deferred_events.clear();
   node.flows.clear();
-  node.reading.clear();
+  node.pending_reads.clear();
   node.incarnation = random_() | 1;
   Coordinator::Options options = options_.coordinator;
   options.data_centre = node.data_centre;
@@ -75,15 +75,17 @@
   Tick(i);
 }
 
-void FakeFleet::On(size_t i, std::function<void(Node&)> event, Millis delay) {
-  const uint64_t life = nodes_[i].life;
-  events_.After(delay, [this, i, life, event = std::move(event)] {
+void FakeFleet::RunOn(size_t i,
+                      std::function<void(Node&)> event,
+                      Millis delay) {
+  const uint64_t generation = nodes_[i].generation;
+  events_.After(delay, [this, i, generation, event = std::move(event)] {
     Node& node = nodes_[i];
-    if (!node.alive || node.life != life) {
+    if (!node.alive || node.generation != generation) {
       return;
     }
     if (node.paused) {
-      node.held.push_back([this, i, event] {
+      node.deferred_events.push_back([this, i, event] {
         event(nodes_[i]);
         Flush(i);
       });
@@ -95,30 +97,30 @@
 }
 
 void FakeFleet::Tick(size_t i) {
-  On(
+  RunOn(
       i,
       [this, i](Node& node) {
-        node.coordinator->OnTick(now(), Wall());
+        node.coordinator->OnTick(now(), WallNow());
         std::vector<uint64_t> attempts;
         for (const auto& [attempt, flow] : node.flows) {
           attempts.push_back(attempt);
         }
         for (const uint64_t it : attempts) {
           if (node.flows.contains(it)) {
-            Perform(i, it, node.flows.at(it)->OnTick(now()));
+            PerformActions(i, it, node.flows.at(it)->OnTick(now()));
           }
         }
         CheckExits(i);
         for (const auto& [stream, from] : node.coordinator->Reads(now())) {
-          ReadFor(i, stream, from);
+          ReadStream(i, stream, from);
         }
         if (node.draining && node.flows.empty() &&
             node.coordinator->Drained()) {
-          if (node.leaving) {
+          if (node.exit_queued) {
             Kill(i);
             return;
           }
-          node.leaving = true;
+          node.exit_queued = true;
           node.coordinator->Leave();
         }
         Tick(i);
@@ -138,38 +140,40 @@
   for (const auto& [address, heartbeat] :
        node.coordinator->TakeHeartbeats(now())) {
     for (size_t to = 0; to < nodes_.size(); ++to) {
-      const bool lost = cut_links_.contains({i, to}) || Chance(lose_messages_);
+      const bool lost =
+          cut_links_.contains({i, to}) || Chance(lost_message_rate_);
       if (nodes_[to].address == address && !lost) {
-        On(
+        RunOn(
             to,
             [this, heartbeat = heartbeat](Node& it) {
-              it.coordinator->OnMessage(now(), Wall(),
+              it.coordinator->OnMessage(now(), WallNow(),
                                         heartbeat.from.incarnation, heartbeat);
             },
-            Millis(Random(1, 4)));
+            Millis(RandomInt(1, 4)));
       }
     }
   }
   for (const Coordinator::AppendOrder& it :
-       node.coordinator->TakeAppends(now(), Wall())) {
-    AppendFrom(i, it);
+       node.coordinator->TakeAppends(now(), WallNow())) {
+    AppendToLog(i, it);
   }
   for (const EntryNotice& it : node.coordinator->TakeNotices()) {
-    Notice(i, it);
+    HandleNotice(i, it);
   }
 }
 
 void FakeFleet::Send(size_t from, const Outbox::Letter& letter) {
   for (size_t to = 0; to < nodes_.size(); ++to) {
-    const bool lost = cut_links_.contains({from, to}) || Chance(lose_messages_);
+    const bool lost =
+        cut_links_.contains({from, to}) || Chance(lost_message_rate_);
     if (nodes_[to].incarnation == letter.to && nodes_[to].alive && !lost) {
       const uint64_t sender = nodes_[from].incarnation;
       Millis& at = delivered_at_[{from, to}];
-      at = std::max(at, now() + Millis(Random(1, 3)));
-      On(
+      at = std::max(at, now() + Millis(RandomInt(1, 3)));
+      RunOn(
           to,
           [this, sender, message = letter.message](Node& it) {
-            it.coordinator->OnMessage(now(), Wall(), sender, message);
+            it.coordinator->OnMessage(now(), WallNow(), sender, message);
           },
           at - now());
     }
@@ -177,19 +181,20 @@
 }
 
 bool FakeFleet::LogReachable(const Node& node) const {
-  return !log_down_ && !cut_centres_.contains(node.centre);
+  return !log_down_ && !data_centres_cut_from_log_.contains(node.centre);
 }
 
-void FakeFleet::AppendFrom(size_t i, const Coordinator::AppendOrder& order) {
+void FakeFleet::AppendToLog(size_t i, const Coordinator::AppendOrder& order) {
   const int64_t latency = options_.log_latency.count();
-  // The append takes effect on its way even if its sender dies meanwhile.
-  events_.After(Millis(Random(latency / 2, latency)), [this, i, order] {
-    const bool reached = LogReachable(nodes_[i]);
-    if (reached) {
+  // Not bound to the instance: an append that was sent takes effect even if the
+  // instance is killed.
+  events_.After(Millis(RandomInt(latency / 2, latency)), [this, i, order] {
+    const bool reachable = LogReachable(nodes_[i]);
+    if (reachable) {
       log_.Append(order.stream, order.payload);
     }
-    const bool ok = reached && !Chance(lose_answers_);
-    On(
+    const bool ok = reachable && !Chance(lost_answer_rate_);
+    RunOn(
         i,
         [this, order, ok](Node& it) {
           it.coordinator->OnAppended(now(), order.stream, ok);
@@ -198,34 +203,35 @@
   });
 }
 
-void FakeFleet::ReadFor(size_t i, const std::string& stream, uint64_t from) {
+void FakeFleet::ReadStream(size_t i, const std::string& stream, uint64_t from) {
   Node& node = nodes_[i];
-  if (!node.reading.insert(stream).second) {
+  if (!node.pending_reads.insert(stream).second) {
     return;
   }
   const int64_t latency = options_.log_latency.count();
-  On(
+  RunOn(
       i,
       [this, stream, from](Node& it) {
-        it.reading.erase(stream);
+        it.pending_reads.erase(stream);
         if (!LogReachable(it)) {
           return;
         }
-        constexpr size_t kMost = 200;
-        const std::vector<LogEntry> entries = log_.Read(stream, from, kMost);
+        constexpr size_t kMaxEntries = 200;
+        const std::vector<LogEntry> entries =
+            log_.Read(stream, from, kMaxEntries);
         const bool at_end =
             entries.empty() || entries.back().offset + 1 == log_.End(stream);
         it.coordinator->OnLogEntries(now(), stream, entries, at_end);
       },
-      Millis(Random(latency / 2, latency)));
+      Millis(RandomInt(latency / 2, latency)));
 }
 
 void FakeFleet::CheckExits(size_t i) {
   Node& node = nodes_[i];
   for (const auto& [address, incarnation] : node.coordinator->Silent(now())) {
     for (const Node& it : nodes_) {
-      // A connection is refused, or answered by another incarnation; a paused
-      // or cut-off process gives no answer.
+      // Evidence of an exit is a refused connection or an answer of another
+      // incarnation. A paused or unreachable process gives neither.
       const bool cut =
           cut_links_.contains({i, static_cast<size_t>(&it - nodes_.data())});
       const bool gone = !it.alive || it.incarnation != incarnation;
@@ -236,24 +242,24 @@
   }
 }
 
-void FakeFleet::Notice(size_t i, const EntryNotice& notice) {
+void FakeFleet::HandleNotice(size_t i, const EntryNotice& notice) {
   Node& node = nodes_[i];
-  const auto with_flow = [&](uint64_t attempt, const auto& act) {
+  const auto apply_to_flow = [&](uint64_t attempt, const auto& apply) {
     auto it = node.flows.find(attempt);
     if (it != node.flows.end()) {
-      Perform(i, attempt, act(*it->second));
+      PerformActions(i, attempt, apply(*it->second));
     }
   };
   if (const auto* reply = std::get_if<ReserveReply>(&notice)) {
-    with_flow(reply->attempt, [&](RequestFlow& flow) {
+    apply_to_flow(reply->attempt, [&](RequestFlow& flow) {
       return flow.OnReserveReply(now(), *reply);
     });
   } else if (const auto* settled = std::get_if<SettledNotice>(&notice)) {
-    with_flow(settled->attempt, [&](RequestFlow& flow) {
+    apply_to_flow(settled->attempt, [&](RequestFlow& flow) {
       return flow.OnSettled(now(), settled->safe);
     });
   } else if (const auto* verdict = std::get_if<ContentVerdict>(&notice)) {
-    with_flow(verdict->attempt, [&](RequestFlow& flow) {
+    apply_to_flow(verdict->attempt, [&](RequestFlow& flow) {
       return flow.OnContent(now(), verdict->code);
     });
   }
@@ -280,129 +286,132 @@
   spec.config_version = node.coordinator->config_version();
   spec.worst_case = worst_case;
   spec.repeatable = repeatable;
-  told_[attempt] = Told{organisation, key, repeatable};
-  told_[attempt].worst_case = worst_case;
-  told_[attempt].entry = instance;
+  outcomes_[attempt] = CallOutcome{organisation, key, repeatable};
+  outcomes_[attempt].worst_case = worst_case;
+  outcomes_[attempt].entry = instance;
   auto flow = std::make_unique<RequestFlow>(spec, node.retries.get());
   RequestFlow& it = *flow;
   node.flows[attempt] = std::move(flow);
-  Perform(instance, attempt, it.Start(now()));
+  PerformActions(instance, attempt, it.Start(now()));
   Flush(instance);
   return attempt;
 }
 
-void FakeFleet::Perform(size_t i,
-                        uint64_t attempt,
-                        const RequestFlow::Actions& actions) {
+void FakeFleet::PerformActions(size_t i,
+                               uint64_t attempt,
+                               const RequestFlow::Actions& actions) {
   for (const FlowAction& it : actions) {
-    Act(i, attempt, it);
+    PerformAction(i, attempt, it);
   }
 }
 
-void FakeFleet::Act(size_t i, uint64_t attempt, const FlowAction& action) {
+void FakeFleet::PerformAction(size_t i,
+                              uint64_t attempt,
+                              const FlowAction& action) {
   Node& node = nodes_[i];
   Coordinator& coordinator = *node.coordinator;
   if (const auto* check = std::get_if<CheckContent>(&action)) {
     coordinator.CheckContent(now(), attempt, check->content);
   } else if (const auto* reserve = std::get_if<ReserveRequest>(&action)) {
-    coordinator.Reserve(now(), Wall(), *reserve);
+    coordinator.Reserve(now(), WallNow(), *reserve);
   } else if (const auto* end = std::get_if<ReservationEnd>(&action)) {
     coordinator.EndReservation(now(), *end);
   } else if (std::holds_alternative<DispatchCall>(action)) {
     RequestFlow& flow = *node.flows.at(attempt);
-    Perform(i, attempt, flow.OnDispatched(now(), "endpoint"));
-    RunCall(i, attempt, flow.spec().worst_case);
+    PerformActions(i, attempt, flow.OnDispatched(now(), "endpoint"));
+    CallEndpoint(i, attempt, flow.spec().worst_case);
   } else if (std::holds_alternative<ConfirmCrash>(action)) {
     RequestFlow& flow = *node.flows.at(attempt);
-    Perform(i, attempt, flow.OnCrashVerdict(now(), false));
+    PerformActions(i, attempt, flow.OnCrashVerdict(now(), false));
   } else if (const auto* settle = std::get_if<SettleCharge>(&action)) {
-    told_[attempt].settling = true;
+    outcomes_[attempt].settle_requested = true;
     coordinator.Settle(now(), settle->request);
   } else if (const auto* withdraw = std::get_if<WithdrawCharge>(&action)) {
     coordinator.Withdraw(now(), withdraw->charge);
   } else if (const auto* note = std::get_if<NoteRecord>(&action)) {
-    coordinator.Note(told_[attempt].organisation, note->record);
+    coordinator.Note(outcomes_[attempt].organisation, note->record);
   } else if (const auto* finish = std::get_if<FinishRequest>(&action)) {
-    Told& told = told_[attempt];
-    told.done = true;
-    told.code = finish->code;
-    told.run_state = finish->run_state;
+    CallOutcome& outcome = outcomes_[attempt];
+    outcome.done = true;
+    outcome.code = finish->code;
+    outcome.run_state = finish->run_state;
     const bool budget = finish->code == ResultCode::kBudgetHeldElsewhere ||
                         finish->code == ResultCode::kBudgetUnavailable ||
                         finish->code == ResultCode::kBudgetExhausted;
-    told.false_refusal =
-        budget && Unspent(told.organisation) >= told.worst_case;
-    const uint64_t life = node.life;
-    events_.After(Millis(1), [this, i, attempt, life] {
-      if (nodes_[i].life == life) {
+    outcome.falsely_refused =
+        budget && UnspentTokens(outcome.organisation) >= outcome.worst_case;
+    const uint64_t generation = node.generation;
+    events_.After(Millis(1), [this, i, attempt, generation] {
+      if (nodes_[i].generation == generation) {
         nodes_[i].flows.erase(attempt);
       }
     });
   }
 }
 
-void FakeFleet::RunCall(size_t i, uint64_t attempt, int64_t worst_case) {
+void FakeFleet::CallEndpoint(size_t i, uint64_t attempt, int64_t worst_case) {
   UpstreamEvent event;
-  const double draw = std::uniform_real_distribution<double>(0, 1)(random_);
-  if (draw < cut_calls_ / 3) {
+  const double fraction = std::uniform_real_distribution<double>(0, 1)(random_);
+  if (fraction < cut_call_rate_ / 3) {
     event.kind = UpstreamEvent::Kind::kRefused;
-  } else if (draw < cut_calls_) {
+  } else if (fraction < cut_call_rate_) {
     event.kind = UpstreamEvent::Kind::kCut;
-    told_[attempt].runs += Chance(0.5) ? 1 : 0;
+    outcomes_[attempt].runs += Chance(0.5) ? 1 : 0;
   } else {
     event.kind = UpstreamEvent::Kind::kEnd;
     event.status = 200;
-    event.prompt_tokens = Random(0, worst_case / 2);
-    event.completion_tokens = Random(1, worst_case / 2 + 1);
-    told_[attempt].runs += 1;
+    event.prompt_tokens = RandomInt(0, worst_case / 2);
+    event.completion_tokens = RandomInt(1, worst_case / 2 + 1);
+    outcomes_[attempt].runs += 1;
   }
-  On(
+  RunOn(
       i,
       [this, i, attempt, event](Node& node) {
         auto it = node.flows.find(attempt);
         if (it != node.flows.end()) {
-          Perform(i, attempt, it->second->OnUpstream(now(), event));
+          PerformActions(i, attempt, it->second->OnUpstream(now(), event));
         }
       },
-      Millis(Random(20, 400)));
+      Millis(RandomInt(20, 400)));
 }
 
 // Operators.
 
-void FakeFleet::Operate(const std::string& stream, Record record) {
-  Batch batch{random_() | 1, 1, "", Wall(), {std::move(record)}};
+void FakeFleet::AppendAsOperator(const std::string& stream, Record record) {
+  Batch batch{random_() | 1, 1, "", WallNow(), {std::move(record)}};
   log_.Append(stream, codec_.Encode(batch));
 }
 
 void FakeFleet::TopUpBudget(const std::string& organisation, int64_t tokens) {
   const uint32_t shard = static_cast<uint32_t>(StableHash(organisation) %
                                                options_.coordinator.shards);
-  Operate(LedgerShard::StreamName(shard),
-          TopUp{organisation, Hex(random_()), tokens, "test"});
+  AppendAsOperator(LedgerShard::StreamName(shard),
+                   TopUp{organisation, Hex(random_()), tokens, "test"});
 }
 
 uint64_t FakeFleet::Publish(uint64_t base, const std::string& id) {
-  Operate("control", Configuration{base, id, "test", {}});
+  AppendAsOperator("control", Configuration{base, id, "test", {}});
   return log_.End("control") - 1;
 }
 
 // Faults.
 
-void FakeFleet::MarkLost(size_t killed) {
-  const Coordinator& dead = *nodes_[killed].coordinator;
-  for (auto& entry : told_) {
+void FakeFleet::MarkLostCharges(size_t killed) {
+  const Coordinator& killed_coordinator = *nodes_[killed].coordinator;
+  for (auto& entry : outcomes_) {
     const uint64_t attempt = entry.first;
-    Told& told = entry.second;
-    if (!told.settling || told.lost) {
+    CallOutcome& outcome = entry.second;
+    if (!outcome.settle_requested || outcome.charge_lost) {
       continue;
     }
-    const bool withheld = told.done && told.code != ResultCode::kOk;
-    const bool held = dead.HoldsCharge(attempt);
-    const bool elsewhere =
+    const bool withheld = outcome.done && outcome.code != ResultCode::kOk;
+    const bool held = killed_coordinator.HoldsCharge(attempt);
+    const bool held_elsewhere =
         std::any_of(nodes_.begin(), nodes_.end(), [&](const Node& it) {
           return it.alive && it.coordinator->HoldsCharge(attempt);
         });
-    told.lost = (held && !elsewhere) || (withheld && told.entry == killed);
+    outcome.charge_lost =
+        (held && !held_elsewhere) || (withheld && outcome.entry == killed);
   }
 }
 
@@ -410,11 +419,11 @@
   Node& node = nodes_[instance];
   if (node.alive) {
     node.alive = false;
-    MarkLost(instance);
+    MarkLostCharges(instance);
   }
   node.alive = false;
   node.paused = false;
-  ++node.life;
+  ++node.generation;
   node.flows.clear();
 }
 
@@ -434,7 +443,7 @@
     return;
   }
   node.paused = false;
-  for (const auto& it : std::exchange(node.held, {})) {
+  for (const auto& it : std::exchange(node.deferred_events, {})) {
     if (node.alive) {
       it();
     }
@@ -451,9 +460,9 @@
 
 void FakeFleet::CutFromLog(int data_centre, bool cut) {
   if (cut) {
-    cut_centres_.insert(data_centre);
+    data_centres_cut_from_log_.insert(data_centre);
   } else {
-    cut_centres_.erase(data_centre);
+    data_centres_cut_from_log_.erase(data_centre);
   }
 }
 
@@ -465,13 +474,13 @@
   }
 }
 
-void FakeFleet::Heal() {
+void FakeFleet::EndAllFaults() {
   log_down_ = false;
-  cut_centres_.clear();
+  data_centres_cut_from_log_.clear();
   cut_links_.clear();
-  lose_answers_ = 0;
-  lose_messages_ = 0;
-  cut_calls_ = 0;
+  lost_answer_rate_ = 0;
+  lost_message_rate_ = 0;
+  cut_call_rate_ = 0;
   for (size_t i = 0; i < nodes_.size(); ++i) {
     Wake(i);
     Restart(i);
--- a/tests/support/fake_fleet.h
+++ b/tests/support/fake_fleet.h
@@ -19,21 +19,22 @@
 
 namespace tamaracktrail {
 
-//! Coordinators and request flows of several instances over a fake log, fake
-//! connections and fake endpoints, all in passed-in time from one seed.
+//! Deterministic simulation of several instances: their coordinators and
+//! request flows on a fake log, fake connections and fake endpoints, in
+//! simulated time and with one random seed.
 class FakeFleet {
  public:
   struct Options {
     uint64_t seed = 1;
     int data_centres = 2;
-    int instances = 2;  //!< In each data centre.
+    int instances = 2;  //!< Per data centre.
     Millis log_latency{20};
-    size_t keep = SIZE_MAX;  //!< Entries that the log keeps of a stream.
+    size_t log_retention = SIZE_MAX;  //!< Entries kept of each stream.
     Coordinator::Options coordinator;
   };
 
-  //! What callers were told and what ran, by attempt.
-  struct Told {
+  //! Result that a caller got for one attempt, and how often it ran.
+  struct CallOutcome {
     std::string organisation;
     std::string key;
     bool repeatable = true;
@@ -43,11 +44,11 @@
     int runs = 0;
     int64_t worst_case = 0;
     size_t entry = 0;
-    bool false_refusal = false;
-    bool settling = false;  //!< The charge was handed over.
-    //! All that held the charge, or its void, were killed before the log had
-    //! it.
-    bool lost = false;
+    bool falsely_refused = false;
+    bool settle_requested = false;  //!< The charge went to the coordinator.
+    //! Every instance that held the charge, or the void of a withheld answer,
+    //! was killed before it was in the log.
+    bool charge_lost = false;
   };
 
   explicit FakeFleet(const Options& options);
@@ -57,7 +58,7 @@
   void RunFor(Millis time) { events_.RunUntil(events_.now() + time); }
 
   //! Appends a record as an operator would.
-  void Operate(const std::string& stream, Record record);
+  void AppendAsOperator(const std::string& stream, Record record);
   void TopUpBudget(const std::string& organisation, int64_t tokens);
   uint64_t Publish(uint64_t base, const std::string& id);
 
@@ -69,12 +70,14 @@
   void Drain(size_t instance);
   void SetLogDown(bool down) { log_down_ = down; }
   void CutFromLog(int data_centre, bool cut);
-  void LoseAnswers(double part) { lose_answers_ = part; }
-  void LoseMessages(double part) { lose_messages_ = part; }
+  void SetLostAnswerRate(double rate) { lost_answer_rate_ = rate; }
+  void SetLostMessageRate(double rate) { lost_message_rate_ = rate; }
   void CutLink(size_t from, size_t to, bool cut);
-  //! Endpoints cut the connection after this part of the calls.
-  void CutCalls(double part) { cut_calls_ = part; }
-  void Heal();
+  //! Fraction of calls whose connection to the endpoint is refused (one third
+  //! of them) or cut (the others).
+  void SetCutCallRate(double rate) { cut_call_rate_ = rate; }
+  //! Ends all faults, resumes paused instances and restarts killed ones.
+  void EndAllFaults();
 
   bool alive(size_t instance) const { return nodes_[instance].alive; }
   bool paused(size_t instance) const { return nodes_[instance].paused; }
@@ -84,78 +87,84 @@
     return *nodes_[instance].coordinator;
   }
 
-  //! Sends a request to an instance; returns its attempt, 0 where the instance
-  //! does not take it.
+  //! Sends a request to an instance. Returns the id of the attempt, or 0 if the
+  //! instance does not accept requests.
   uint64_t Call(size_t instance,
                 const std::string& organisation,
                 const std::string& key,
                 int64_t worst_case,
                 bool repeatable);
 
-  const std::map<uint64_t, Told>& told() const { return told_; }
+  const std::map<uint64_t, CallOutcome>& outcomes() const { return outcomes_; }
   const FakeLog& log() const { return log_; }
   std::mt19937_64& random() { return random_; }
 
-  //! Folds the whole log of an organisation's shard anew.
-  LedgerFold Observe(const std::string& organisation) const;
+  //! Folds the complete log of an organisation's shard.
+  LedgerFold FoldLedger(const std::string& organisation) const;
 
-  //! Tokens of an organisation not charged so far.
-  int64_t Unspent(const std::string& organisation) const;
+  //! Prepaid tokens of an organisation that have not been charged.
+  int64_t UnspentTokens(const std::string& organisation) const;
 
-  //! Records about a key, and what its callers were told, one line each.
+  //! Log records of a key and all Release records, then the results that the
+  //! callers of the key got; one line each.
   std::vector<std::string> Explain(const std::string& key) const;
 
-  struct Judgement {
-    std::string violation;  //!< What breaks a promise; empty where all hold.
-    //! Answers whose charge, or withheld answers whose void, was lost with
-    //! every instance that held it.
-    int lost = 0;
+  struct CheckResult {
+    std::string violation;  //!< Empty if all guarantees hold.
+    //! Keys with a mismatch of delivery and charge that is explained by the
+    //! kill of every instance that held the charge or its void.
+    int lost_charges = 0;
   };
 
-  //! Call it when all faults are healed and nothing is in progress.
-  Judgement Judge() const;
+  //! Checks deliveries, runs and charges against the log. Precondition: all
+  //! faults have ended and no request is in progress.
+  CheckResult Check() const;
 
  private:
   struct Node {
     std::string address;
     std::string data_centre;
     int centre = 0;
-    uint64_t life = 0;  //!< Changes with each kill and start.
+    uint64_t generation = 0;  //!< Raised by each start and kill.
     uint64_t incarnation = 0;
     bool alive = false;
     bool paused = false;
     bool draining = false;
-    bool leaving = false;
+    bool exit_queued = false;
     std::unique_ptr<Coordinator> coordinator;
     std::unique_ptr<RetryBudget> retries;
     std::map<uint64_t, std::unique_ptr<RequestFlow>> flows;
-    std::set<std::string> reading;
-    std::vector<std::function<void()>> held;  //!< Events during a pause.
+    std::set<std::string> pending_reads;
+    std::vector<std::function<void()>> deferred_events;  //!< Run after a pause.
   };
 
   void Start(size_t i);
-  void On(size_t i, std::function<void(Node&)> event, Millis delay);
+  //! Runs an event on an instance after `delay`. It is deferred while the
+  //! instance is paused and dropped once it has been killed.
+  void RunOn(size_t i, std::function<void(Node&)> event, Millis delay);
   void Tick(size_t i);
   void Flush(size_t i);
   void Send(size_t from, const Outbox::Letter& letter);
-  void AppendFrom(size_t i, const Coordinator::AppendOrder& order);
-  void ReadFor(size_t i, const std::string& stream, uint64_t from);
+  void AppendToLog(size_t i, const Coordinator::AppendOrder& order);
+  void ReadStream(size_t i, const std::string& stream, uint64_t from);
   void CheckExits(size_t i);
-  void Notice(size_t i, const EntryNotice& notice);
-  void Perform(size_t i, uint64_t attempt, const RequestFlow::Actions& actions);
-  void Act(size_t i, uint64_t attempt, const FlowAction& action);
-  void RunCall(size_t i, uint64_t attempt, int64_t worst_case);
-  void MarkLost(size_t killed);
+  void HandleNotice(size_t i, const EntryNotice& notice);
+  void PerformActions(size_t i,
+                      uint64_t attempt,
+                      const RequestFlow::Actions& actions);
+  void PerformAction(size_t i, uint64_t attempt, const FlowAction& action);
+  void CallEndpoint(size_t i, uint64_t attempt, int64_t worst_case);
+  void MarkLostCharges(size_t killed);
   static constexpr Millis kWallStart{1700000000000};
 
-  static void JudgeKey(const std::string& key,
-                       const std::vector<const Told*>& tries,
+  static void CheckKey(const std::string& key,
+                       const std::vector<const CallOutcome*>& attempts,
                        bool charged,
-                       Judgement& out);
+                       CheckResult& out);
   bool LogReachable(const Node& node) const;
-  int64_t Random(int64_t low, int64_t high);
-  bool Chance(double part);
-  Millis Wall() const;
+  int64_t RandomInt(int64_t low, int64_t high);
+  bool Chance(double probability);
+  Millis WallNow() const;
 
   Options options_;
   std::mt19937_64 random_;
@@ -163,15 +172,16 @@
   BatchCodec codec_;
   FakeLog log_;
   std::vector<Node> nodes_;
-  std::map<uint64_t, Told> told_;
-  std::set<int> cut_centres_;
+  std::map<uint64_t, CallOutcome> outcomes_;
+  std::set<int> data_centres_cut_from_log_;
   std::set<std::pair<size_t, size_t>> cut_links_;
-  //! Time of the last delivery; a connection keeps its order.
+  //! Time of the latest delivery on each connection, which keeps messages in
+  //! order.
   std::map<std::pair<size_t, size_t>, Millis> delivered_at_;
   bool log_down_ = false;
-  double lose_answers_ = 0;
-  double lose_messages_ = 0;
-  double cut_calls_ = 0;
+  double lost_answer_rate_ = 0;
+  double lost_message_rate_ = 0;
+  double cut_call_rate_ = 0;
 };
 
 }  // namespace tamaracktrail
--- a/tests/support/fake_fleet_judge.cpp
+++ b/tests/support/fake_fleet_judge.cpp
@@ -8,9 +8,7 @@
 
 namespace tamaracktrail {
 
-// Judgement.
-
-LedgerFold FakeFleet::Observe(const std::string& organisation) const {
+LedgerFold FakeFleet::FoldLedger(const std::string& organisation) const {
   const uint32_t shard = static_cast<uint32_t>(StableHash(organisation) %
                                                options_.coordinator.shards);
   StreamView<LedgerFold> view(
@@ -24,8 +22,8 @@
   return view.fold();
 }
 
-int64_t FakeFleet::Unspent(const std::string& organisation) const {
-  const Budget budget = Observe(organisation).BudgetOf(organisation);
+int64_t FakeFleet::UnspentTokens(const std::string& organisation) const {
+  const Budget budget = FoldLedger(organisation).BudgetOf(organisation);
   return budget.prepaid - budget.charged;
 }
 
@@ -49,7 +47,7 @@
       }
     }
   }
-  for (const auto& [attempt, it] : told_) {
+  for (const auto& [attempt, it] : outcomes_) {
     if (it.key == key) {
       lines.push_back(absl::StrCat("attempt=", Hex(attempt), " done=", it.done,
                                    " code=", static_cast<int>(it.code),
@@ -60,58 +58,59 @@
   return lines;
 }
 
-FakeFleet::Judgement FakeFleet::Judge() const {
-  Judgement out;
-  std::map<std::pair<std::string, std::string>, std::vector<const Told*>> keys;
-  for (const auto& [attempt, told] : told_) {
-    keys[{told.organisation, told.key}].push_back(&told);
+FakeFleet::CheckResult FakeFleet::Check() const {
+  CheckResult out;
+  std::map<std::pair<std::string, std::string>, std::vector<const CallOutcome*>>
+      keys;
+  for (const auto& [attempt, outcome] : outcomes_) {
+    keys[{outcome.organisation, outcome.key}].push_back(&outcome);
     const bool claims_not_run =
-        told.done && told.run_state == RunState::kNotRun;
-    if (claims_not_run && told.runs > 0) {
-      out.violation = absl::StrCat("key ", told.key, " ran, told not_run");
+        outcome.done && outcome.run_state == RunState::kNotRun;
+    if (claims_not_run && outcome.runs > 0) {
+      out.violation = absl::StrCat("key ", outcome.key, " ran, told not_run");
     }
   }
   std::map<std::string, LedgerFold> folds;
-  for (const auto& [name, tries] : keys) {
+  for (const auto& [name, attempts] : keys) {
     const auto& [organisation, key] = name;
     if (!folds.contains(organisation)) {
-      folds.emplace(organisation, Observe(organisation));
+      folds.emplace(organisation, FoldLedger(organisation));
     }
     const KeyState state = folds.at(organisation).KeyOf(organisation, key);
-    JudgeKey(key, tries, state.phase == KeyState::Phase::kCharged, out);
+    CheckKey(key, attempts, state.phase == KeyState::Phase::kCharged, out);
   }
   return out;
 }
 
-void FakeFleet::JudgeKey(const std::string& key,
-                         const std::vector<const Told*>& tries,
+void FakeFleet::CheckKey(const std::string& key,
+                         const std::vector<const CallOutcome*>& attempts,
                          bool charged,
-                         Judgement& out) {
+                         CheckResult& out) {
   int runs = 0;
   bool delivered = false;
-  bool settling = false;
-  bool lost = false;
-  for (const Told* it : tries) {
+  bool settle_requested = false;
+  bool charge_lost = false;
+  for (const CallOutcome* it : attempts) {
     runs += it->runs;
     delivered |= it->done && it->code == ResultCode::kOk;
-    // Its entry died after it handed the charge over.
-    settling |= it->settling && !it->done;
-    lost |= it->lost;
+    // The entry was killed after it had passed the charge to the coordinator.
+    settle_requested |= it->settle_requested && !it->done;
+    charge_lost |= it->charge_lost;
   }
-  if (!tries.front()->repeatable && runs > 1) {
+  if (!attempts.front()->repeatable && runs > 1) {
     out.violation =
         absl::StrCat("non-repeatable key ", key, " ran ", runs, " times");
   }
   if (charged && runs == 0) {
     out.violation = absl::StrCat("key ", key, " was charged and did not run");
   }
-  const bool unpaid = delivered && !charged;
-  const bool unserved = charged && !delivered && !settling;
-  if ((unpaid || unserved) && lost) {
-    ++out.lost;
-  } else if (unpaid) {
+  const bool uncharged = delivered && !charged;
+  const bool undelivered = charged && !delivered && !settle_requested;
+  if ((uncharged || undelivered) && charge_lost) {
+    ++out.lost_charges;
+  } else if (uncharged) {
     out.violation = absl::StrCat("key ", key, " was delivered, not charged");
-  } else if (unserved) {
+  } else if (undelivered) {
     out.violation = absl::StrCat("key ", key, " was charged, not delivered");
   }
 }
--- a/tests/support/fake_log.h
+++ b/tests/support/fake_log.h
@@ -11,7 +11,8 @@
 
 namespace tamaracktrail {
 
-//! The platform's log in memory, with retention. Not thread-safe.
+//! In-memory replacement for the platform's log, with retention. Not
+//! thread-safe.
 class FakeLog {
  public:
   uint64_t Append(const std::string& stream, const std::string& payload) {
@@ -22,20 +23,23 @@
     return entries.back().offset;
   }
 
-  //! Entries from an offset, or from the oldest that is kept.
+  //! Entries from offset `from`, or from the oldest retained one if that is
+  //! later.
   std::vector<LogEntry> Read(const std::string& stream,
                              uint64_t from,
-                             size_t most) const {
+                             size_t max_entries) const {
     auto it = streams_.find(stream);
     if (it == streams_.end()) {
       return {};
     }
     const std::vector<LogEntry>& entries = it->second;
-    const uint64_t oldest =
-        entries.size() > keep_ ? entries.size() - keep_ + 1 : 1;
+    const uint64_t oldest = entries.size() > retained_entries_
+                                ? entries.size() - retained_entries_ + 1
+                                : 1;
     const uint64_t first = std::max(from, oldest);
     std::vector<LogEntry> out;
-    for (uint64_t i = first; i <= entries.size() && out.size() < most; ++i) {
+    for (uint64_t i = first; i <= entries.size() && out.size() < max_entries;
+         ++i) {
       out.push_back(entries[i - 1]);
     }
     return out;
@@ -46,18 +50,18 @@
     return it == streams_.end() ? 1 : it->second.size() + 1;
   }
 
-  //! All entries ever appended, for an observer without retention.
+  //! All entries ever appended, including those past retention.
   const std::map<std::string, std::vector<LogEntry>>& streams() const {
     return streams_;
   }
 
-  void set_keep(size_t keep) { keep_ = keep; }
+  void set_keep(size_t entries) { retained_entries_ = entries; }
   uint64_t appends() const { return appends_; }
   uint64_t bytes() const { return bytes_; }
 
  private:
   std::map<std::string, std::vector<LogEntry>> streams_;
-  size_t keep_ = SIZE_MAX;
+  size_t retained_entries_ = SIZE_MAX;
   uint64_t appends_ = 0;
   uint64_t bytes_ = 0;
 };
