--- a/tests/soak/instance_process.cpp
+++ b/tests/soak/instance_process.cpp
@@ -23,15 +23,16 @@
                                  const std::string& store_address)
     : binary_(binary),
       name_(std::move(name)),
-      callers_(FreeAddress()),
-      health_(FreeAddress()),
+      callers_address_(FreeAddress()),
+      health_address_(FreeAddress()),
       settings_path_(absl::StrCat(folder, "/", name_, ".ini")),
       log_path_(absl::StrCat(folder, "/", name_, ".log")),
       store_link_(loop, store_address) {
   std::ofstream out(settings_path_);
   out << "[instance]\nname = " << name_ << "\ndata_centre = dc-1\n"
-      << "[listen]\ncallers = " << callers_ << "\nhealth = " << health_
-      << "\npeers = " << FreeAddress() << "\nmetrics = " << FreeAddress()
+      << "[listen]\ncallers = " << callers_address_
+      << "\nhealth = " << health_address_ << "\npeers = " << FreeAddress()
+      << "\nmetrics = " << FreeAddress()
       << "\n[store]\naddress = " << store_link_.address()
       << "\nreads_per_s = 2000\nwrites_per_s = 800\n"
       << "[limits]\nfile_descriptors = 1024\ngrace_ms = 5000\n"
@@ -54,13 +55,13 @@
   std::string command = "front";
   gchar* arguments[] = {binary_.data(), command.data(), settings.data(),
                         nullptr};
-  // Were it left behind, it would go on calling the ports of the stand-ins,
-  // which other processes may have by then.
-  const GSpawnChildSetupFunc end_with_parent = [](gpointer) {
+  // An instance that outlived its parent would keep calling the ports of the
+  // stand-ins, which other processes may have been given by then.
+  const GSpawnChildSetupFunc die_with_parent = [](gpointer) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
   };
   CHECK(g_spawn_async_with_fds(nullptr, arguments, nullptr,
-                               G_SPAWN_DO_NOT_REAP_CHILD, end_with_parent,
+                               G_SPAWN_DO_NOT_REAP_CHILD, die_with_parent,
                                nullptr, &pid_, -1, log, log, nullptr))
       << "event=not_started binary=" << binary_;
   close(log);
--- a/tests/soak/instance_process.h
+++ b/tests/soak/instance_process.h
@@ -13,8 +13,8 @@
 
 class EventLoop;
 
-//! One instance as a process of its own, behind a proxy to its store.
-//! Not thread-safe.
+//! One instance in its own process, with a fault proxy between it and the
+//! store. Not thread-safe.
 class InstanceProcess {
  public:
   InstanceProcess(EventLoop* loop,
@@ -25,8 +25,8 @@
   ~InstanceProcess();  //!< Kills the process.
 
   const std::string& name() const { return name_; }
-  const std::string& callers() const { return callers_; }
-  const std::string& health() const { return health_; }
+  const std::string& callers_address() const { return callers_address_; }
+  const std::string& health_address() const { return health_address_; }
   const std::string& log_path() const { return log_path_; }
   FaultProxy& store_link() { return store_link_; }
 
@@ -34,17 +34,18 @@
   void Start();
   //! Precondition: running.
   void Signal(int signal);
-  //! Whether the process has not ended; looks each time.
+  //! Whether the process is running. Checks with waitpid and reaps it if it has
+  //! exited.
   bool running();
   pid_t pid() const { return pid_; }
-  //! Raised by each start.
+  //! Number of starts.
   int incarnation() const { return incarnation_; }
 
  private:
   std::string binary_;
   std::string name_;
-  std::string callers_;
-  std::string health_;
+  std::string callers_address_;
+  std::string health_address_;
   std::string settings_path_;
   std::string log_path_;
   FaultProxy store_link_;
--- a/tests/soak/process_run.cpp
+++ b/tests/soak/process_run.cpp
@@ -25,24 +25,26 @@
 
 namespace {
 
-//! Promises with a time bound hold for instances that were left alone, with
-//! their store and their link to it, for this long. Also the bound itself: of
-//! the pages, for leaving endpoints and for configurations.
-constexpr Millis kLeftAlone{2500};
-constexpr Millis kBound{3000};
+//! Time bounds are checked only for instances whose process, store and store
+//! link have not been disturbed for this long.
+constexpr Millis kUndisturbedTime{2500};
+//! Documented bound within which instances apply a new configuration and stop
+//! sending requests to a draining endpoint.
+constexpr Millis kPropagationBound{3000};
 
-//! Of a stream, so that many are open at any moment.
-constexpr Millis kEventPause{50};
+//! Between two events of a stream; so long that many streams are always open.
+constexpr Millis kEventInterval{50};
 
 constexpr Millis kWarmUp{2500};
-constexpr Millis kHealing{9000};
-//! Of the planned work after the healing, which nothing disturbs.
-constexpr Millis kPlannedWork{3000};
-constexpr Millis kTick{20};
-constexpr Millis kCallPause{12};
-constexpr Millis kProbePause{300};
-constexpr int64_t kFirstPrepaid = 150 * kSampleTokens;
-constexpr int64_t kTopup = 60 * kSampleTokens;
+constexpr Millis kRecoveryTime{9000};
+//! Delay of the planned changes (endpoints drain, an instance stops) after all
+//! faults have ended. No fault disturbs them.
+constexpr Millis kPlannedChangesDelay{3000};
+constexpr Millis kPollInterval{20};
+constexpr Millis kCallInterval{12};
+constexpr Millis kProbeInterval{300};
+constexpr int64_t kInitialPrepaid = 150 * kSampleStreamTokens;
+constexpr int64_t kTopup = 60 * kSampleStreamTokens;
 
 struct Call {
   std::string id;
@@ -71,69 +73,74 @@
   }
 
   ProcessRunReport Run() {
-    PutConfig();
+    PublishConfig();
     for (auto& it : instances_) {
       it.process->Start();
     }
-    TroubleAll();
+    MarkAllDisturbed();
     loop_.After(kWarmUp, [this] {
-      CallTick();
-      ProbeTick();
-      FaultTick();
+      SendCall();
+      ProbeConfigs();
+      InjectFault();
     });
-    Tick();
-    loop_.After(kWarmUp + options_.length, [this] { Heal(); });
-    loop_.After(kWarmUp + options_.length + kHealing, [this] { Finish(); });
+    PollTick();
+    loop_.After(kWarmUp + options_.length, [this] { EndAllFaults(); });
+    loop_.After(kWarmUp + options_.length + kRecoveryTime,
+                [this] { CheckRecovery(); });
     loop_.Run();
-    Judge();
+    CheckResults();
     return std::move(report_);
   }
 
  private:
   struct Instance {
     std::unique_ptr<InstanceProcess> process;
-    Millis troubled;      //!< When something was last done to it.
+    Millis disturbed_at;  //!< Last start or end of a fault.
     bool paused = false;  //!< By SIGSTOP.
     bool stopping = false;
-    Millis stop_asked;
-    bool stop_disturbed = false;  //!< Something else came shortly before or
-                                  //!< since.
-    int64_t newest_seen = 0;      //!< Version, of this incarnation.
-    int seen_by = 0;              //!< The incarnation.
-    bool killed = false;          //!< With SIGKILL, ever.
-    Millis start_at;              //!< Of the next process; 0 for not known.
+    Millis stop_requested_at;
+    bool stop_disturbed = false;  //!< Another fault shortly before or since.
+    int64_t newest_version_seen = 0;  //!< By seen_incarnation.
+    int seen_incarnation = 0;         //!< Process that was probed.
+    bool killed = false;              //!< By SIGKILL, at any time in the run.
+    Millis restart_at;                //!< Of the next process; 0 if not chosen.
   };
   struct Endpoint {
     std::unique_ptr<StandInEndpoint> stand_in;
-    std::unique_ptr<FaultProxy> link;  //!< What the instances reach it by.
+    std::unique_ptr<FaultProxy> link;  //!< Its address is the published one.
     std::string service;
     int64_t sequence = 1;
-    Millis leaving;  //!< Since then; 0 for not.
-    size_t looked_at = 0;
+    Millis draining_since;  //!< 0 if not draining.
+    size_t checked_requests = 0;
   };
   struct Fault {
     const char* name;
-    std::function<void()> begin;
+    std::function<void()> start;
   };
 
-  //! Callers draw apart, so that the faults of a seed stay the same.
-  int Draw(int n) { return static_cast<int>(random_() % n); }
-  int DrawForCall(int n) { return static_cast<int>(call_random_() % n); }
-  Millis DrawTime(int from, int to) { return Millis(from + Draw(to - from)); }
+  //! Calls use a generator of their own, so that the faults depend on the seed
+  //! only and not on the number of calls.
+  int RandomBelow(int n) { return static_cast<int>(random_() % n); }
+  int RandomBelowForCalls(int n) {
+    return static_cast<int>(call_random_() % n);
+  }
+  Millis RandomTime(int from, int to) {
+    return Millis(from + RandomBelow(to - from));
+  }
 
-  void Violate(const std::string& text) {
+  void AddViolation(const std::string& text) {
     if (violations_.insert(text).second) {
       report_.violations.push_back(text);
     }
   }
 
-  // --- The site --------------------------------------------------------------
+  // --- Configuration and endpoints -------------------------------------------
 
-  void PutConfig() {
+  void PublishConfig() {
     ++version_;
-    version_at_ = loop_.Now();
+    version_published_at_ = loop_.Now();
     store_.Put(platform::kOperatorTopic, platform::kConfigKey,
-               SampleConfig(version_, prepaid_));
+               SampleConfig(version_, prepaid_tokens_));
   }
 
   void AddEndpoint(const std::string& service) {
@@ -141,45 +148,46 @@
     it.service = service;
     it.stand_in = std::make_unique<StandInEndpoint>(
         &loop_, absl::StrCat(service, "-", endpoints_.size()));
-    it.stand_in->habits() = UsualHabits();
+    it.stand_in->habits() = DefaultBehaviour();
     it.link = std::make_unique<FaultProxy>(&loop_, it.stand_in->address());
-    PutEndpoint(&it);
+    PublishEndpoint(&it);
   }
 
-  static StandInEndpoint::Habits UsualHabits() {
-    StandInEndpoint::Habits habits;
-    habits.event_pause = kEventPause;
-    return habits;
+  static StandInEndpoint::Behaviour DefaultBehaviour() {
+    StandInEndpoint::Behaviour behaviour;
+    behaviour.event_pause = kEventInterval;
+    return behaviour;
   }
 
-  void PutEndpoint(Endpoint* it) {
-    store_.Put(
-        platform::kEndpointTopic, it->stand_in->id(),
-        it->stand_in->Entry(it->service, ++it->sequence,
-                            it->leaving > Millis(0), it->link->address()));
+  void PublishEndpoint(Endpoint* it) {
+    store_.Put(platform::kEndpointTopic, it->stand_in->id(),
+               it->stand_in->Entry(it->service, ++it->sequence,
+                                   it->draining_since > Millis(0),
+                                   it->link->address()));
   }
 
   // --- Faults ----------------------------------------------------------------
 
-  void Trouble(Instance* it) {
-    it->troubled = loop_.Now();
+  void MarkDisturbed(Instance* it) {
+    it->disturbed_at = loop_.Now();
     it->stop_disturbed = true;
   }
-  void TroubleAll() {
+  void MarkAllDisturbed() {
     for (Instance& it : instances_) {
-      Trouble(&it);
+      MarkDisturbed(&it);
     }
   }
-  bool InTouch(const Instance& it) const {
+  bool BoundsApply(const Instance& it) const {
     return !it.paused && !it.stopping &&
-           loop_.Now() - it.troubled >= kLeftAlone;
+           loop_.Now() - it.disturbed_at >= kUndisturbedTime;
   }
 
-  void FaultTick() {
-    if (healing_) {
+  void InjectFault() {
+    if (faults_ended_) {
       return;
     }
-    Instance* it = &instances_[Draw(static_cast<int>(instances_.size()))];
+    Instance* it =
+        &instances_[RandomBelow(static_cast<int>(instances_.size()))];
     const Fault faults[] = {
         {"kill", [&] { Kill(it); }},
         {"kill_all",
@@ -190,54 +198,54 @@
          }},
         {"pause", [&] { Pause(it); }},
         {"stop", [&] { Stop(it); }},
-        {"reload", [&] { Send(it, SIGHUP); }},
-        {"link", [&] { HarmLink(it); }},
-        {"link", [&] { HarmLink(it); }},
-        {"store", [&] { HarmStore(); }},
+        {"reload", [&] { SendSignal(it, SIGHUP); }},
+        {"link", [&] { DisturbLink(it); }},
+        {"link", [&] { DisturbLink(it); }},
+        {"store", [&] { DisturbStore(); }},
         {"compact", [&] { Compact(); }},
-        {"config", [&] { PutConfig(); }},
+        {"config", [&] { PublishConfig(); }},
         {"topup",
          [&] {
-           prepaid_ += kTopup;
-           PutConfig();
+           prepaid_tokens_ += kTopup;
+           PublishConfig();
          }},
-        {"endpoint_leaves", [&] { LeaveEndpoint(); }},
-        {"endpoint_misbehaves", [&] { HarmEndpoint(); }},
-        {"endpoint_link", [&] { HarmEndpointLink(); }},
+        {"endpoint_leaves", [&] { DrainRandomEndpoint(); }},
+        {"endpoint_misbehaves", [&] { MakeRandomEndpointMisbehave(); }},
+        {"endpoint_link", [&] { DisturbRandomEndpointLink(); }},
     };
-    const Fault& fault = faults[Draw(std::size(faults))];
+    const Fault& fault = faults[RandomBelow(std::size(faults))];
     ++report_.faults[fault.name];
-    fault.begin();
-    // Now and then a calm time, in which bounds hold.
-    const Millis pause =
-        Draw(5) == 0 ? DrawTime(3500, 5000) : DrawTime(50, 900);
-    loop_.After(pause, [this] { FaultTick(); });
+    fault.start();
+    // One in five delays is long enough for the time bounds to apply.
+    const Millis delay =
+        RandomBelow(5) == 0 ? RandomTime(3500, 5000) : RandomTime(50, 900);
+    loop_.After(delay, [this] { InjectFault(); });
   }
 
-  void Send(Instance* it, int signal) {
+  void SendSignal(Instance* it, int signal) {
     if (it->process->running()) {
       it->process->Signal(signal);
     }
   }
 
   void Kill(Instance* it) {
-    Trouble(it);
+    MarkDisturbed(it);
     it->killed = true;
     it->paused = false;
-    Send(it, SIGKILL);
+    SendSignal(it, SIGKILL);
   }
 
   void Pause(Instance* it) {
-    Trouble(it);
+    MarkDisturbed(it);
     it->paused = true;
-    Send(it, SIGSTOP);
-    loop_.After(DrawTime(100, 2500), [this, it] { GoOn(it); });
+    SendSignal(it, SIGSTOP);
+    loop_.After(RandomTime(100, 2500), [this, it] { Resume(it); });
   }
-  void GoOn(Instance* it) {
+  void Resume(Instance* it) {
     if (it->paused) {
-      Trouble(it);
+      MarkDisturbed(it);
       it->paused = false;
-      Send(it, SIGCONT);
+      SendSignal(it, SIGCONT);
     }
   }
 
@@ -245,45 +253,47 @@
     if (it->stopping) {
       return;
     }
-    // In order, since troubles that came before count as a disturbance.
-    it->stop_disturbed = loop_.Now() - it->troubled < kLeftAlone;
-    it->troubled = loop_.Now();
+    // Compared before disturbed_at is set to the time of the stop: only earlier
+    // faults count as a disturbance.
+    it->stop_disturbed = loop_.Now() - it->disturbed_at < kUndisturbedTime;
+    it->disturbed_at = loop_.Now();
     it->stopping = true;
-    it->stop_asked = loop_.Now();
-    Send(it, SIGTERM);
+    it->stop_requested_at = loop_.Now();
+    SendSignal(it, SIGTERM);
   }
 
-  FaultProxy::Mode DrawHarm() {
+  FaultProxy::Mode RandomFaultMode() {
     constexpr FaultProxy::Mode kModes[] = {
-        FaultProxy::Mode::kDelay,      FaultProxy::Mode::kCut,
-        FaultProxy::Mode::kCutForward, FaultProxy::Mode::kCutBack,
-        FaultProxy::Mode::kSilence,    FaultProxy::Mode::kReset};
-    return kModes[Draw(std::size(kModes))];
+        FaultProxy::Mode::kDelay,         FaultProxy::Mode::kStall,
+        FaultProxy::Mode::kStallToServer, FaultProxy::Mode::kStallToClient,
+        FaultProxy::Mode::kBlackhole,     FaultProxy::Mode::kReset};
+    return kModes[RandomBelow(std::size(kModes))];
   }
 
-  void HarmLink(Instance* it) {
-    Trouble(it);
-    it->process->store_link().SetMode(DrawHarm());
-    loop_.After(DrawTime(100, 4000), [this, it] {
-      Trouble(it);
+  void DisturbLink(Instance* it) {
+    MarkDisturbed(it);
+    it->process->store_link().SetMode(RandomFaultMode());
+    loop_.After(RandomTime(100, 4000), [this, it] {
+      MarkDisturbed(it);
       it->process->store_link().SetMode(FaultProxy::Mode::kPass);
     });
   }
 
-  void HarmEndpointLink() {
-    Endpoint* it = &endpoints_[Draw(static_cast<int>(endpoints_.size()))];
-    endpoints_harmed_ = loop_.Now();
-    it->link->SetMode(DrawHarm());
-    loop_.After(DrawTime(50, 1500), [this, it] {
-      endpoints_harmed_ = loop_.Now();
+  void DisturbRandomEndpointLink() {
+    Endpoint* it =
+        &endpoints_[RandomBelow(static_cast<int>(endpoints_.size()))];
+    endpoints_disturbed_at_ = loop_.Now();
+    it->link->SetMode(RandomFaultMode());
+    loop_.After(RandomTime(50, 1500), [this, it] {
+      endpoints_disturbed_at_ = loop_.Now();
       it->link->SetMode(FaultProxy::Mode::kPass);
     });
   }
 
-  void HarmStore() {
-    TroubleAll();
+  void DisturbStore() {
+    MarkAllDisturbed();
     StandInStore::Faults& faults = store_.faults();
-    switch (Draw(4)) {
+    switch (RandomBelow(4)) {
       case 0:
         faults.refuse = true;
         break;
@@ -296,8 +306,8 @@
       default:
         faults.delay = Millis(150);
     }
-    loop_.After(DrawTime(100, 3000), [this] {
-      TroubleAll();
+    loop_.After(RandomTime(100, 3000), [this] {
+      MarkAllDisturbed();
       store_.faults() = {};
     });
   }
@@ -309,68 +319,69 @@
     }
   }
 
-  void LeaveEndpoint() {
-    Endpoint* it = &endpoints_[Draw(static_cast<int>(endpoints_.size()))];
-    if (it->leaving == Millis(0)) {
-      Leave(it);
+  void DrainRandomEndpoint() {
+    Endpoint* it =
+        &endpoints_[RandomBelow(static_cast<int>(endpoints_.size()))];
+    if (it->draining_since == Millis(0)) {
+      DrainEndpoint(it);
     }
   }
 
-  //! Another takes its place first, so that each service keeps two.
-  void Leave(Endpoint* it) {
+  //! Adds a replacement first, so that each service keeps two endpoints.
+  void DrainEndpoint(Endpoint* it) {
     AddEndpoint(it->service);
-    it->leaving = loop_.Now();
-    PutEndpoint(it);
-    loop_.After(kBound + DrawTime(2000, 5000), [this, it] {
+    it->draining_since = loop_.Now();
+    PublishEndpoint(it);
+    loop_.After(kPropagationBound + RandomTime(2000, 5000), [this, it] {
       store_.Put(platform::kEndpointTopic, it->stand_in->id(), "");
     });
   }
 
-  void HarmEndpoint() {
-    Endpoint& it = endpoints_[Draw(static_cast<int>(endpoints_.size()))];
-    endpoints_harmed_ = loop_.Now();
-    StandInEndpoint::Habits& habits = it.stand_in->habits();
-    switch (Draw(5)) {
+  void MakeRandomEndpointMisbehave() {
+    Endpoint& it = endpoints_[RandomBelow(static_cast<int>(endpoints_.size()))];
+    endpoints_disturbed_at_ = loop_.Now();
+    StandInEndpoint::Behaviour& behaviour = it.stand_in->habits();
+    switch (RandomBelow(5)) {
       case 0:
-        habits.refuse = true;
+        behaviour.refuse = true;
         break;
       case 1:
-        habits.silent = true;
+        behaviour.silent = true;
         break;
       case 2:
-        habits.fail = true;
+        behaviour.fail = true;
         break;
       case 3:
-        habits.unsigned_answer = true;
+        behaviour.unsigned_answer = true;
         break;
       default:
-        habits.break_after = 2;
+        behaviour.break_after = 2;
     }
-    loop_.After(DrawTime(100, 1500), [this, &it] {
-      endpoints_harmed_ = loop_.Now();
-      it.stand_in->habits() = UsualHabits();
+    loop_.After(RandomTime(100, 1500), [this, &it] {
+      endpoints_disturbed_at_ = loop_.Now();
+      it.stand_in->habits() = DefaultBehaviour();
     });
   }
 
-  void Heal() {
-    healing_ = true;
+  void EndAllFaults() {
+    faults_ended_ = true;
     for (Instance& it : instances_) {
-      GoOn(&it);
+      Resume(&it);
       it.process->store_link().SetMode(FaultProxy::Mode::kPass);
     }
     store_.faults() = {};
     for (Endpoint& it : endpoints_) {
-      it.stand_in->habits() = UsualHabits();
+      it.stand_in->habits() = DefaultBehaviour();
       it.link->SetMode(FaultProxy::Mode::kPass);
     }
-    prepaid_ += 1000 * kSampleTokens;
-    PutConfig();
-    TroubleAll();
-    loop_.After(kPlannedWork, [this] {
+    prepaid_tokens_ += 1000 * kSampleStreamTokens;
+    PublishConfig();
+    MarkAllDisturbed();
+    loop_.After(kPlannedChangesDelay, [this] {
       for (const char* service : {"llm", "app"}) {
         for (Endpoint& it : endpoints_) {
-          if (it.service == service && it.leaving == Millis(0)) {
-            Leave(&it);
+          if (it.service == service && it.draining_since == Millis(0)) {
+            DrainEndpoint(&it);
             break;
           }
         }
@@ -381,82 +392,85 @@
 
   // --- Callers ---------------------------------------------------------------
 
-  void CallTick() {
+  void SendCall() {
     if (finished_) {
       return;
     }
     const char* const routes[] = {"safe", "fee", "report", "ask"};
     Call call;
-    call.route = routes[DrawForCall(4)];
-    call.instance = DrawForCall(static_cast<int>(instances_.size()));
+    call.route = routes[RandomBelowForCalls(4)];
+    call.instance = RandomBelowForCalls(static_cast<int>(instances_.size()));
     Instance& it = instances_[call.instance];
     call.id = absl::StrCat(it.process->name(), ".", ++report_.requests);
     call.sent = loop_.Now();
     if (call.route == "fee" || call.route == "report") {
-      once_.insert(call.id);
+      non_repeatable_ids_.insert(call.id);
     }
     const std::string request = SampleRequest(call.route, call.id);
-    const auto kept =
-        std::find_if(kept_.begin(), kept_.end(), [&](const auto& each) {
+    const auto reusable_caller = std::find_if(
+        reusable_callers_.begin(), reusable_callers_.end(),
+        [&](const auto& each) {
           return each.first == call.instance && each.second->reusable();
         });
-    // Half of the callers keep their connections, also to a stopping process.
-    if (kept != kept_.end() && DrawForCall(2) == 0) {
-      call.caller = std::move(kept->second);
-      kept_.erase(kept);
-      call.caller->Again(request);
+    // About half of the calls reuse an open connection where there is one, also
+    // to a stopping process.
+    if (reusable_caller != reusable_callers_.end() &&
+        RandomBelowForCalls(2) == 0) {
+      call.caller = std::move(reusable_caller->second);
+      reusable_callers_.erase(reusable_caller);
+      call.caller->SendAnother(request);
     } else {
-      call.caller =
-          std::make_unique<Caller>(&loop_, it.process->callers(), request);
+      call.caller = std::make_unique<Caller>(
+          &loop_, it.process->callers_address(), request);
     }
     calls_.push_back(std::move(call));
-    loop_.After(kCallPause, [this] { CallTick(); });
+    loop_.After(kCallInterval, [this] { SendCall(); });
   }
 
-  void Tick() {
+  void PollTick() {
     for (Instance& it : instances_) {
       if (it.process->running() || finished_) {
         continue;
       }
-      if (it.start_at == Millis(0)) {
-        it.start_at = loop_.Now() + Millis(DrawForCall(1500));
-      } else if (loop_.Now() >= it.start_at || healing_) {
-        it.start_at = {};
+      if (it.restart_at == Millis(0)) {
+        it.restart_at = loop_.Now() + Millis(RandomBelowForCalls(1500));
+      } else if (loop_.Now() >= it.restart_at || faults_ended_) {
+        it.restart_at = {};
         it.stopping = false;
-        Trouble(&it);
+        MarkDisturbed(&it);
         it.process->Start();
       }
     }
     for (Endpoint& it : endpoints_) {
-      LookAtRuns(&it);
+      CheckNewRuns(&it);
     }
     std::vector<Call> open;
     for (Call& it : calls_) {
       if (it.caller->over() || loop_.Now() - it.sent > Millis(6000)) {
-        End(&it);
+        FinishCall(&it);
       } else {
         open.push_back(std::move(it));
       }
     }
     calls_ = std::move(open);
-    loop_.After(kTick, [this] { Tick(); });
+    loop_.After(kPollInterval, [this] { PollTick(); });
   }
 
-  void End(Call* call) {
+  void FinishCall(Call* call) {
     Caller& caller = *call->caller;
     const int status = caller.whole() ? caller.status() : 0;
     ++report_.answers[status];
-    statuses_[call->id] = status;
+    status_by_id_[call->id] = status;
     Instance& it = instances_[call->instance];
     if (status == 200) {
       CheckAnswer(*call);
-    } else if (status == 0 && it.stopping && it.stop_asked > call->sent &&
-               !it.stop_disturbed &&
-               loop_.Now() - endpoints_harmed_ > kLeftAlone) {
-      Violate("a graceful stop cut " + call->id);
+    } else if (status == 0 && it.stopping &&
+               it.stop_requested_at > call->sent && !it.stop_disturbed &&
+               loop_.Now() - endpoints_disturbed_at_ > kUndisturbedTime) {
+      AddViolation("a graceful stop cut " + call->id);
     }
-    if (caller.reusable() && kept_.size() < 50) {
-      kept_.emplace_back(call->instance, std::move(call->caller));
+    if (caller.reusable() && reusable_callers_.size() < 50) {
+      reusable_callers_.emplace_back(call->instance, std::move(call->caller));
     }
   }
 
@@ -464,38 +478,41 @@
     HttpReader& answer = call.caller->answer();
     if (answer.fields().Find("X-Request-Id") != call.id ||
         answer.fields().Count("X-Server-Signature") != 1) {
-      Violate("not the own answer: " + call.id);
+      AddViolation("not the own answer: " + call.id);
     }
     const bool stream = call.route == "report" || call.route == "ask";
-    if (answer.body() != (stream ? SampleStream() : "body")) {
-      Violate("not the whole answer: " + call.id);
+    if (answer.body() != (stream ? SampleStreamBody() : "body")) {
+      AddViolation("not the whole answer: " + call.id);
     }
     if (stream) {
-      delivered_ += kSampleTokens;
-      streams_.push_back(call.id);
-      if (delivered_ > prepaid_) {
-        Violate(absl::StrCat("overspent: ", delivered_, " of ", prepaid_));
+      delivered_tokens_ += kSampleStreamTokens;
+      delivered_streams_.push_back(call.id);
+      if (delivered_tokens_ > prepaid_tokens_) {
+        AddViolation(absl::StrCat("overspent: ", delivered_tokens_, " of ",
+                                  prepaid_tokens_));
       }
     }
   }
 
-  void LookAtRuns(Endpoint* it) {
+  void CheckNewRuns(Endpoint* it) {
     const auto& ran = it->stand_in->ran();
-    for (; it->looked_at < ran.size(); ++it->looked_at) {
+    for (; it->checked_requests < ran.size(); ++it->checked_requests) {
       const std::string id(
-          ran[it->looked_at].fields.Find("X-Request-Id").value_or(""));
-      ++runs_[id];
-      const Instance* from = InstanceOf(id);
-      if (from != nullptr && it->leaving > Millis(0) &&
-          loop_.Now() - it->leaving > kBound + kTick && InTouch(*from)) {
-        Violate(absl::StrCat(id, " ran at ", it->stand_in->id(), " ",
-                             (loop_.Now() - it->leaving).count(),
-                             " ms after it began to leave"));
+          ran[it->checked_requests].fields.Find("X-Request-Id").value_or(""));
+      ++run_count_by_id_[id];
+      const Instance* from = InstanceOfRequest(id);
+      if (from != nullptr && it->draining_since > Millis(0) &&
+          loop_.Now() - it->draining_since >
+              kPropagationBound + kPollInterval &&
+          BoundsApply(*from)) {
+        AddViolation(absl::StrCat(id, " ran at ", it->stand_in->id(), " ",
+                                  (loop_.Now() - it->draining_since).count(),
+                                  " ms after it began to leave"));
       }
     }
   }
 
-  const Instance* InstanceOf(const std::string& id) const {
+  const Instance* InstanceOfRequest(const std::string& id) const {
     for (const Instance& it : instances_) {
       if (id.rfind(it.process->name() + ".", 0) == 0) {
         return &it;
@@ -504,9 +521,9 @@
     return nullptr;
   }
 
-  // --- Configurations --------------------------------------------------------
+  // --- Configuration probes --------------------------------------------------
 
-  void ProbeTick() {
+  void ProbeConfigs() {
     if (finished_) {
       return;
     }
@@ -514,64 +531,69 @@
       Probe(i, version_);
       Probe(i, std::max<int64_t>(1, version_ - 1));
     }
-    loop_.After(kProbePause, [this] { ProbeTick(); });
+    loop_.After(kProbeInterval, [this] { ProbeConfigs(); });
   }
 
   void Probe(int instance, int64_t version) {
     Instance& it = instances_[instance];
     const int incarnation = it.process->incarnation();
-    if (it.seen_by != incarnation) {
-      it.seen_by = incarnation;
-      it.newest_seen = 0;
+    if (it.seen_incarnation != incarnation) {
+      it.seen_incarnation = incarnation;
+      it.newest_version_seen = 0;
     }
     auto caller = std::make_shared<Caller>(
-        &loop_, it.process->callers(),
+        &loop_, it.process->callers_address(),
         SampleRequest(absl::StrCat("version-", version), "probe"));
-    const bool due = version == version_ && InTouch(it) &&
-                     loop_.Now() - version_at_ > kBound;
-    // Probes that are open at the same time may see a change in either order.
-    const int64_t seen_before = it.newest_seen;
-    Watch(caller, 100, [=, this, &it] {
+    const bool expected =
+        version == version_ && BoundsApply(it) &&
+        loop_.Now() - version_published_at_ > kPropagationBound;
+    // Concurrent probes may see a change in either order, so a probe is
+    // compared with the newest version seen before it was sent.
+    const int64_t newest_version_before = it.newest_version_seen;
+    AwaitCaller(caller, 100, [=, this, &it] {
       if (it.process->incarnation() != incarnation) {
         return;
       }
       if (caller->status() == 200) {
-        if (version < seen_before) {
-          Violate(absl::StrCat(it.process->name(), " went back to version ",
-                               version, " from ", seen_before));
+        if (version < newest_version_before) {
+          AddViolation(absl::StrCat(it.process->name(),
+                                    " went back to version ", version, " from ",
+                                    newest_version_before));
         }
-        it.newest_seen = std::max(it.newest_seen, version);
-      } else if (caller->status() == 404 && due && InTouch(it)) {
-        Violate(absl::StrCat(it.process->name(), " does not know version ",
-                             version, " in time"));
+        it.newest_version_seen = std::max(it.newest_version_seen, version);
+      } else if (caller->status() == 404 && expected && BoundsApply(it)) {
+        AddViolation(absl::StrCat(it.process->name(), " does not know version ",
+                                  version, " in time"));
       }
     });
   }
 
-  void Watch(const std::shared_ptr<Caller>& caller,
-             int looks,
-             const std::function<void()>& then) {
-    if (caller->over() || looks == 0) {
+  void AwaitCaller(const std::shared_ptr<Caller>& caller,
+                   int polls_left,
+                   const std::function<void()>& then) {
+    if (caller->over() || polls_left == 0) {
       then();
       return;
     }
-    loop_.After(kTick, [=, this] { Watch(caller, looks - 1, then); });
+    loop_.After(kPollInterval,
+                [=, this] { AwaitCaller(caller, polls_left - 1, then); });
   }
 
-  // --- The end ---------------------------------------------------------------
+  // --- End of the run --------------------------------------------------------
 
-  void Finish() {
-    // All is well for some seconds: every instance serves every route.
+  void CheckRecovery() {
+    // All faults ended kRecoveryTime ago: every instance must serve every
+    // route.
     for (Instance& it : instances_) {
       for (const char* route : {"safe", "fee", "report", "ask"}) {
         const std::string id =
             absl::StrCat(it.process->name(), ".last-", route);
-        auto caller = std::make_shared<Caller>(&loop_, it.process->callers(),
-                                               SampleRequest(route, id));
-        Watch(caller, 100, [this, id, caller] {
+        auto caller = std::make_shared<Caller>(
+            &loop_, it.process->callers_address(), SampleRequest(route, id));
+        AwaitCaller(caller, 100, [this, id, caller] {
           if (caller->status() != 200) {
-            Violate(absl::StrCat(id, " got ", caller->status(),
-                                 " after all was healed"));
+            AddViolation(absl::StrCat(id, " got ", caller->status(),
+                                      " after all was healed"));
           }
         });
       }
@@ -579,24 +601,25 @@
     finished_ = true;
     loop_.After(Millis(2500), [this] {
       for (Instance& it : instances_) {
-        Send(&it, SIGTERM);
+        SendSignal(&it, SIGTERM);
       }
       loop_.After(Millis(6000), [this] { loop_.Quit(); });
     });
   }
 
-  void Judge() {
-    for (const auto& [id, n] : runs_) {
-      if (id != "probe" && n > (once_.count(id) > 0 ? 1 : 2)) {
-        Violate(absl::StrCat(id, " ran ", n, " times"));
+  void CheckResults() {
+    for (const auto& [id, n] : run_count_by_id_) {
+      if (id != "probe" && n > (non_repeatable_ids_.count(id) > 0 ? 1 : 2)) {
+        AddViolation(absl::StrCat(id, " ran ", n, " times"));
       }
     }
-    for (const auto& [id, status] : statuses_) {
-      if (status >= 400 && status <= 429 && status != 408 && runs_[id] > 0) {
-        Violate(absl::StrCat(id, " ran and got ", status));
+    for (const auto& [id, status] : status_by_id_) {
+      if (status >= 400 && status <= 429 && status != 408 &&
+          run_count_by_id_[id] > 0) {
+        AddViolation(absl::StrCat(id, " ran and got ", status));
       }
-      if (status == 503 && runs_[id] > 0) {
-        Violate(id + " was said not to have run");
+      if (status == 503 && run_count_by_id_[id] > 0) {
+        AddViolation(id + " was said not to have run");
       }
     }
     for (const Instance& it : instances_) {
@@ -606,7 +629,8 @@
     }
   }
 
-  //! Every stream that was delivered is charged in the log.
+  //! Checks that the instance's log file has a charge for each stream that it
+  //! delivered.
   void CheckLog(const Instance& it) {
     std::ifstream in(it.process->log_path());
     std::set<std::string> charged;
@@ -617,9 +641,9 @@
         charged.insert(line.substr(from, line.find(' ', from) - from));
       }
     }
-    for (const std::string& id : streams_) {
-      if (InstanceOf(id) == &it && charged.count(id) == 0) {
-        Violate(id + " was delivered and is charged nowhere");
+    for (const std::string& id : delivered_streams_) {
+      if (InstanceOfRequest(id) == &it && charged.count(id) == 0) {
+        AddViolation(id + " was delivered and is charged nowhere");
       }
     }
   }
@@ -629,21 +653,21 @@
   std::mt19937_64 call_random_;
   EventLoop loop_;
   StandInStore store_;
-  std::deque<Endpoint> endpoints_;  //!< Those that left too.
+  std::deque<Endpoint> endpoints_;  //!< Including removed ones.
   std::vector<Instance> instances_;
   std::vector<Call> calls_;
-  std::vector<std::pair<int, std::unique_ptr<Caller>>> kept_;
-  std::map<std::string, int> statuses_;
-  std::map<std::string, int> runs_;
-  std::set<std::string> once_;
-  std::vector<std::string> streams_;
+  std::vector<std::pair<int, std::unique_ptr<Caller>>> reusable_callers_;
+  std::map<std::string, int> status_by_id_;
+  std::map<std::string, int> run_count_by_id_;
+  std::set<std::string> non_repeatable_ids_;
+  std::vector<std::string> delivered_streams_;
   std::set<std::string> violations_;
   int64_t version_ = 0;
-  Millis version_at_;
-  int64_t prepaid_ = kFirstPrepaid;
-  int64_t delivered_ = 0;
-  Millis endpoints_harmed_;
-  bool healing_ = false;
+  Millis version_published_at_;
+  int64_t prepaid_tokens_ = kInitialPrepaid;
+  int64_t delivered_tokens_ = 0;
+  Millis endpoints_disturbed_at_;
+  bool faults_ended_ = false;
   bool finished_ = false;
   ProcessRunReport report_;
 };
--- a/tests/soak/process_run.h
+++ b/tests/soak/process_run.h
@@ -12,24 +12,24 @@
 
 struct ProcessRunOptions {
   std::string binary;  //!< The program under test.
-  std::string folder;  //!< For settings and logs; exists.
+  std::string folder;  //!< For settings and logs; must exist.
   uint64_t seed = 1;
   Millis length{10000};
   int instances = 4;
 };
 
-//! What callers and endpoints saw in a run.
+//! Answers, faults and violations of a run.
 struct ProcessRunReport {
   uint64_t requests = 0;
-  std::map<int, int> answers;         //!< By status; 0: connection ended.
+  std::map<int, int> answers;         //!< By status; 0 for no complete answer.
   std::map<std::string, int> faults;  //!< By kind.
   std::vector<std::string> violations;
 };
 
-//! Runs instances as processes of their own between stand-ins, harms them from
-//! outside with signals, proxies and a store that misbehaves, and checks the
-//! promises meanwhile and at the end. The seed decides which faults come when;
-//! the processes take their own time. Ends all that it started.
+//! Runs instances as separate processes between stand-ins, injects faults with
+//! signals, proxies and a faulty store, and checks the guarantees during the
+//! run and at its end. The seed determines the order and times of the faults,
+//! but the timing of the processes varies. Ends all processes that it started.
 ProcessRunReport RunProcesses(const ProcessRunOptions& options);
 
 }  // namespace tamaracktrail
--- a/tests/support/caller.cpp
+++ b/tests/support/caller.cpp
@@ -8,19 +8,20 @@
 
 namespace {
 
-constexpr size_t kMostBytes = 65536;
-constexpr Millis kUnacknowledged{5000};
+constexpr size_t kMaxBytes = 65536;
+constexpr Millis kUnacknowledgedTimeout{5000};
 
-std::unique_ptr<HttpReader> NewReader() {
-  return std::make_unique<HttpReader>(HttpReader::Kind::kResponse, kMostBytes);
+std::unique_ptr<HttpReader> MakeReader() {
+  return std::make_unique<HttpReader>(HttpReader::Kind::kResponse, kMaxBytes);
 }
 
 }  // namespace
 
 Caller::Caller(EventLoop* loop, const std::string& address, std::string request)
     : request_(std::move(request)),
-      reader_(NewReader()),
-      stream_(*TcpStream::Connect(loop, address, kUnacknowledged, this)) {}
+      reader_(MakeReader()),
+      stream_(
+          *TcpStream::Connect(loop, address, kUnacknowledgedTimeout, this)) {}
 
 Caller::~Caller() = default;
 
@@ -29,28 +30,28 @@
   stream_->Flush();
 }
 
-void Caller::Again(const std::string& request) {
+void Caller::SendAnother(const std::string& request) {
   CHECK(reusable());
-  reader_ = NewReader();
+  reader_ = MakeReader();
   stream_->Write(request);
   stream_->Flush();
 }
 
 bool Caller::reusable() const {
-  return whole() && !ended_ && stream_ != nullptr &&
+  return whole() && !connection_ended_ && stream_ != nullptr &&
          reader_->fields().Find("Connection") != "close";
 }
 
 void Caller::OnReadable() {
-  std::string buf;
-  const auto result = stream_->Read(&buf, kMostBytes);
-  in_ += buf;
-  if (!reader_->Feed(&in_).ok()) {
-    broken_ = true;
+  std::string buffer;
+  const auto result = stream_->Read(&buffer, kMaxBytes);
+  input_ += buffer;
+  if (!reader_->Feed(&input_).ok()) {
+    malformed_ = true;
   }
   if (result == TcpStream::ReadResult::kEnd ||
       result == TcpStream::ReadResult::kFailed) {
-    ended_ = true;
+    connection_ended_ = true;
     stream_.reset();
   }
 }
--- a/tests/support/caller.h
+++ b/tests/support/caller.h
@@ -11,22 +11,23 @@
 
 class EventLoop;
 
-//! A caller that keeps its connection open after a request, and what came.
+//! A test HTTP client that keeps its connection open after a request and holds
+//! the answer.
 //! Not thread-safe.
 class Caller : public TcpStream::Observer {
  public:
-  //! Connects and sends `request`. Precondition: `loop` outlives the caller.
+  //! Connects and sends `request`. Precondition: `loop` outlives this object.
   Caller(EventLoop* loop, const std::string& address, std::string request);
   ~Caller() override;
 
   //! Sends another request on the same connection. Precondition: `reusable`.
-  void Again(const std::string& request);
+  void SendAnother(const std::string& request);
 
-  //! Leaves without waiting.
+  //! Closes the connection without waiting for the answer.
   void Leave() { stream_.reset(); }
 
-  bool whole() const { return reader_->done() && !broken_; }
-  bool over() const { return whole() || ended_ || broken_; }
+  bool whole() const { return reader_->done() && !malformed_; }
+  bool over() const { return whole() || connection_ended_ || malformed_; }
   bool reusable() const;
   int status() const { return reader_->head_done() ? reader_->status() : 0; }
   HttpReader& answer() { return *reader_; }
@@ -34,13 +35,13 @@
  private:
   void OnConnected() override;
   void OnReadable() override;
-  void OnFailed(const absl::Status&) override { ended_ = true; }
+  void OnFailed(const absl::Status&) override { connection_ended_ = true; }
 
   std::string request_;
   std::unique_ptr<HttpReader> reader_;
-  std::string in_;
-  bool ended_ = false;
-  bool broken_ = false;
+  std::string input_;
+  bool connection_ended_ = false;
+  bool malformed_ = false;
   std::unique_ptr<TcpStream> stream_;
 };
 
--- a/tests/support/fault_proxy.cpp
+++ b/tests/support/fault_proxy.cpp
@@ -16,32 +16,34 @@
 namespace {
 
 constexpr Millis kDelay{150};
-constexpr Millis kUnacknowledged{60000};
-constexpr size_t kPiece = 65536;
+constexpr Millis kUnacknowledgedTimeout{60000};
+constexpr size_t kReadBytes = 65536;
 
 }  // namespace
 
-//! Two connections and what passes between them.
-class FaultProxy::Pipe : public std::enable_shared_from_this<Pipe> {
+//! A client connection and the connection to the server that it is forwarded
+//! to.
+class FaultProxy::ConnectionPair
+    : public std::enable_shared_from_this<ConnectionPair> {
  public:
-  Pipe(FaultProxy* proxy, int fd)
+  ConnectionPair(FaultProxy* proxy, int fd)
       : proxy_(proxy), client_(this, true), server_(this, false) {
     client_.stream = TcpStream::Adopt(proxy->loop_, fd, &client_);
     server_.stream = *TcpStream::Connect(proxy->loop_, proxy->server_,
-                                         kUnacknowledged, &server_);
-    Apply();
+                                         kUnacknowledgedTimeout, &server_);
+    ApplyMode();
   }
 
-  //! The proxy's mode has changed.
-  void Apply() {
+  //! Applies the proxy's current mode to both connections.
+  void ApplyMode() {
     const Mode mode = proxy_->mode_;
-    silent_ = silent_ || mode == Mode::kSilence;
-    const bool cut = silent_ || mode == Mode::kCut;
+    blackholed_ = blackholed_ || mode == Mode::kBlackhole;
+    const bool stalled = blackholed_ || mode == Mode::kStall;
     if (client_.stream) {
-      client_.stream->PauseReading(cut || mode == Mode::kCutForward);
+      client_.stream->PauseReading(stalled || mode == Mode::kStallToServer);
     }
     if (server_.stream) {
-      server_.stream->PauseReading(cut || mode == Mode::kCutBack);
+      server_.stream->PauseReading(stalled || mode == Mode::kStallToClient);
     }
   }
 
@@ -56,71 +58,72 @@
 
  private:
   struct Side : TcpStream::Observer {
-    Side(Pipe* pipe, bool client) : pipe(pipe), client(client) {}
+    Side(ConnectionPair* pair, bool client) : pair(pair), client(client) {}
 
     void OnConnected() override { stream->Flush(); }
-    void OnReadable() override { pipe->Forward(this); }
-    void OnDrained() override { pipe->Deliver(this); }
-    void OnFailed(const absl::Status&) override { pipe->Drop(true); }
+    void OnReadable() override { pair->Forward(this); }
+    void OnDrained() override { pair->CloseAfterLastByte(this); }
+    void OnFailed(const absl::Status&) override { pair->Close(true); }
 
-    Pipe* pipe;
+    ConnectionPair* pair;
     bool client;
-    bool last = false;  //!< The other side has sent its end.
+    bool end_received = false;  //!< The other side has closed.
     std::unique_ptr<TcpStream> stream;
   };
 
   void Forward(Side* from) {
-    std::string buf;
-    const auto result = from->stream->Read(&buf, kPiece);
+    std::string buffer;
+    const auto result = from->stream->Read(&buffer, kReadBytes);
     if (result == TcpStream::ReadResult::kFailed) {
-      Drop(true);
+      Close(true);
       return;
     }
-    const bool last = result == TcpStream::ReadResult::kEnd;
-    if (last) {
+    const bool end_received = result == TcpStream::ReadResult::kEnd;
+    if (end_received) {
       from->stream->PauseReading(true);
     }
     Side* to = from->client ? &server_ : &client_;
-    const auto arrive = [self = shared_from_this(), to, last,
-                         buf = std::move(buf)] {
+    const auto deliver = [self = shared_from_this(), to, end_received,
+                          buffer = std::move(buffer)] {
       if (to->stream) {
-        to->stream->Write(buf);
-        to->last = to->last || last;
+        to->stream->Write(buffer);
+        to->end_received = to->end_received || end_received;
         if (to->stream->connected()) {
           to->stream->Flush();
-          self->Deliver(to);
+          self->CloseAfterLastByte(to);
         }
       }
     };
     if (proxy_->mode_ == Mode::kDelay) {
-      proxy_->loop_->After(kDelay, arrive);
+      proxy_->loop_->After(kDelay, deliver);
     } else {
-      proxy_->loop_->Defer(arrive);
+      proxy_->loop_->Defer(deliver);
     }
   }
 
-  //! Passes the end on once all before it has left.
-  void Deliver(Side* to) {
-    if (to->last && to->stream && to->stream->pending() == 0) {
-      Drop(false);
+  //! Closes both connections once the other side has closed and all its bytes
+  //! are sent.
+  void CloseAfterLastByte(Side* to) {
+    if (to->end_received && to->stream && to->stream->pending() == 0) {
+      Close(false);
     }
   }
 
-  void Drop(bool reset) {
+  void Close(bool reset) {
     proxy_->loop_->Defer([self = shared_from_this(), reset] {
       if (reset) {
         self->Reset();
       }
       self->client_.stream.reset();
       self->server_.stream.reset();
-      self->proxy_->pipes_.erase(self);
+      self->proxy_->pairs_.erase(self);
     });
   }
 
   FaultProxy* proxy_;
   Side client_;
   Side server_;
-  bool silent_ = false;
+  bool blackholed_ = false;
 };
 
 FaultProxy::FaultProxy(EventLoop* loop, std::string server)
@@ -132,18 +135,18 @@
 FaultProxy::~FaultProxy() {
   loop_->Unwatch(fd_);
   close(fd_);
-  for (const auto& it : pipes_) {
+  for (const auto& it : pairs_) {
     it->Reset();
   }
 }
 
 void FaultProxy::SetMode(Mode mode) {
   mode_ = mode;
-  for (const auto& it : pipes_) {
+  for (const auto& it : pairs_) {
     if (mode == Mode::kReset) {
       it->Reset();
     } else {
-      it->Apply();
+      it->ApplyMode();
     }
   }
 }
@@ -154,11 +157,11 @@
     if (fd < 0) {
       return;
     }
-    const auto pipe = std::make_shared<Pipe>(this, fd);
+    const auto pair = std::make_shared<ConnectionPair>(this, fd);
     if (mode_ == Mode::kReset) {
-      pipe->Reset();
+      pair->Reset();
     } else {
-      pipes_.insert(pipe);
+      pairs_.insert(pair);
     }
   }
 }
--- a/tests/support/fault_proxy.h
+++ b/tests/support/fault_proxy.h
@@ -12,17 +12,17 @@
 
 class EventLoop;
 
-//! A TCP proxy on loopback that harms what passes through it. Not thread-safe.
+//! A TCP proxy on loopback that injects network faults. Not thread-safe.
 class FaultProxy : private IoHandler {
  public:
   enum class Mode {
     kPass,
-    kDelay,       //!< Each piece arrives some time later.
-    kCut,         //!< Nothing passes; what is held arrives once it is healed.
-    kCutForward,  //!< The same for bytes to the server only.
-    kCutBack,     //!< The same for bytes to the client only.
-    kSilence,     //!< Connections open now never carry a byte again.
-    kReset,       //!< Connections are reset, new ones too.
+    kDelay,          //!< Data is forwarded 150 ms after it was read.
+    kStall,          //!< Data is held back until the mode changes.
+    kStallToServer,  //!< As kStall, only for bytes to the server.
+    kStallToClient,  //!< As kStall, only for bytes to the client.
+    kBlackhole,      //!< Open connections never forward a byte again.
+    kReset,          //!< Open and new connections are reset.
   };
 
   //! Precondition: `loop` outlives the proxy.
@@ -37,7 +37,7 @@
   Mode mode() const { return mode_; }
 
  private:
-  class Pipe;
+  class ConnectionPair;
 
   void OnReady(uint32_t events) override;
 
@@ -46,7 +46,7 @@
   std::string address_;
   int fd_;
   Mode mode_ = Mode::kPass;
-  std::set<std::shared_ptr<Pipe>> pipes_;
+  std::set<std::shared_ptr<ConnectionPair>> pairs_;
 };
 
 }  // namespace tamaracktrail
--- a/tests/support/fault_proxy_test.cpp
+++ b/tests/support/fault_proxy_test.cpp
@@ -24,15 +24,15 @@
   FaultProxy proxy_;
 };
 
-TEST_F(FaultProxyTest, PassesRequestsAndAnswers) {
+TEST_F(FaultProxyTest, ForwardsRequestsAndAnswers) {
   Caller caller(&loop_, proxy_.address(), SampleRequest("fee", "1"));
   RunFor(Millis(100));
   EXPECT_EQ(caller.status(), 200);
   EXPECT_TRUE(caller.whole());
 }
 
-TEST_F(FaultProxyTest, ACutHoldsBytesUntilItIsHealed) {
-  proxy_.SetMode(FaultProxy::Mode::kCutBack);
+TEST_F(FaultProxyTest, StallHoldsBytesUntilPassMode) {
+  proxy_.SetMode(FaultProxy::Mode::kStallToClient);
   Caller caller(&loop_, proxy_.address(), SampleRequest("fee", "1"));
   RunFor(Millis(100));
   EXPECT_EQ(server_.Runs("1"), 1);
@@ -42,8 +42,8 @@
   EXPECT_EQ(caller.status(), 200);
 }
 
-TEST_F(FaultProxyTest, ASilencedConnectionStaysSilent) {
-  proxy_.SetMode(FaultProxy::Mode::kSilence);
+TEST_F(FaultProxyTest, BlackholedConnectionNeverRecovers) {
+  proxy_.SetMode(FaultProxy::Mode::kBlackhole);
   Caller caller(&loop_, proxy_.address(), SampleRequest("fee", "1"));
   RunFor(Millis(50));
   proxy_.SetMode(FaultProxy::Mode::kPass);
@@ -55,7 +55,7 @@
   EXPECT_EQ(next.status(), 200);
 }
 
-TEST_F(FaultProxyTest, AResetEndsConnections) {
+TEST_F(FaultProxyTest, ResetModeEndsConnections) {
   proxy_.SetMode(FaultProxy::Mode::kReset);
   Caller caller(&loop_, proxy_.address(), SampleRequest("fee", "1"));
   RunFor(Millis(100));
--- a/tests/support/loopback.cpp
+++ b/tests/support/loopback.cpp
@@ -14,8 +14,8 @@
 
 std::string AddressOf(int fd) {
   sockaddr_in bound{};
-  socklen_t n = sizeof(bound);
-  CHECK(getsockname(fd, reinterpret_cast<sockaddr*>(&bound), &n) == 0);
+  socklen_t length = sizeof(bound);
+  CHECK(getsockname(fd, reinterpret_cast<sockaddr*>(&bound), &length) == 0);
   return absl::StrCat("127.0.0.1:", ntohs(bound.sin_port));
 }
 
@@ -28,15 +28,16 @@
 }
 
 std::string FreeAddress() {
-  // A socket that is bound and does not listen keeps the port from outgoing
-  // connections, and SO_REUSEADDR still lets a listener have it. It stays open
-  // until the process ends.
+  // A socket that is bound but does not listen reserves the port: the kernel
+  // does not choose it for outgoing connections, and with SO_REUSEADDR a
+  // listener can still bind it. The socket stays open until the process exits.
   const int fd = socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  const int on = 1;
+  const int enable = 1;
   CHECK(fd >= 0 &&
-        setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on)) == 0);
-  const sockaddr_in any = *ParseSocketAddress("127.0.0.1:0");
-  CHECK(bind(fd, reinterpret_cast<const sockaddr*>(&any), sizeof(any)) == 0);
+        setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &enable, sizeof(enable)) == 0);
+  const sockaddr_in any_port = *ParseSocketAddress("127.0.0.1:0");
+  CHECK(bind(fd, reinterpret_cast<const sockaddr*>(&any_port),
+             sizeof(any_port)) == 0);
   return AddressOf(fd);
 }
 
--- a/tests/support/loopback.h
+++ b/tests/support/loopback.h
@@ -6,11 +6,11 @@
 
 namespace tamaracktrail {
 
-//! A listening descriptor on a free port of 127.0.0.1, with its address.
+//! Listens on a free port of 127.0.0.1. Returns the descriptor and the address.
 std::pair<int, std::string> ListenOnFreePort();
 
-//! An address of 127.0.0.1 that a test may listen on, also more than once.
-//! No outgoing connection gets its port while the process lives.
+//! An address on 127.0.0.1 that a test may listen on, also repeatedly. Its port
+//! is not used for outgoing connections until the process exits.
 std::string FreeAddress();
 
 }  // namespace tamaracktrail
--- a/tests/support/loopback_test.cpp
+++ b/tests/support/loopback_test.cpp
@@ -10,7 +10,7 @@
 namespace tamaracktrail {
 namespace {
 
-TEST(LoopbackTest, AFreeAddressIsNotTakenByAnOutgoingConnection) {
+TEST(LoopbackTest, FreeAddressIsReservedForListeners) {
   const std::string address = FreeAddress();
   const sockaddr_in wanted = *ParseSocketAddress(address);
   const int other = socket(AF_INET, SOCK_STREAM, 0);
--- a/tests/support/sample_site.cpp
+++ b/tests/support/sample_site.cpp
@@ -13,7 +13,7 @@
 
 json RouteEntry(const std::string& name,
                 const std::string& kind,
-                int attempts,
+                int max_attempts,
                 bool resumable) {
   return {{"name", name},
           {"host", "h.example"},
@@ -23,7 +23,7 @@
           {"target_latency_ms", 300},
           {"priority", 0},
           {"service", kind == "streaming" ? "llm" : "app"},
-          {"max_attempts", attempts},
+          {"max_attempts", max_attempts},
           {"public", false},
           {"stream_resumption", resumable},
           {"target_gap_ms", 300}};
@@ -32,15 +32,15 @@
 }  // namespace
 
 std::string SampleConfig(int64_t version, int64_t prepaid) {
-  json of_version =
+  json version_route =
       RouteEntry(absl::StrCat("version-", version), "safe", 2, false);
-  of_version["public"] = true;
+  version_route["public"] = true;
   return json{{"version", version},
               {"routes",
                {RouteEntry("safe", "safe", 2, false),
                 RouteEntry("fee", "unsafe", 2, false),
                 RouteEntry("report", "streaming", 2, false),
-                RouteEntry("ask", "streaming", 2, true), of_version}},
+                RouteEntry("ask", "streaming", 2, true), version_route}},
               {"services",
                {{{"name", "llm"},
                  {"connection_limit", 100},
@@ -61,18 +61,18 @@
 
 std::string SampleRequest(const std::string& route,
                           const std::string& id,
-                          const std::string& more) {
-  const bool stream = route == "report" || route == "ask";
+                          const std::string& extra_headers) {
+  const bool streaming = route == "report" || route == "ask";
   return absl::StrCat(
       "POST /", route, "/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: ", id,
       "\r\nX-Request-Deadline: 1200\r\nAuthorization: Bearer key-1\r\n",
-      stream ? "X-Model: m\r\nX-Token-Usage: 1000,100\r\n"
-               "X-Prompt-Prefix: aa:600,bb:300,cc:100\r\n"
-             : "",
-      more, "Content-Length: 4\r\n\r\nbody");
+      streaming ? "X-Model: m\r\nX-Token-Usage: 1000,100\r\n"
+                  "X-Prompt-Prefix: aa:600,bb:300,cc:100\r\n"
+                : "",
+      extra_headers, "Content-Length: 4\r\n\r\nbody");
 }
 
-std::string SampleStream() {
+std::string SampleStreamBody() {
   std::string body;
   for (int i = 1; i <= 5; ++i) {
     absl::StrAppend(&body, "id: ", i, "\ndata: x\n\n");
--- a/tests/support/sample_site.h
+++ b/tests/support/sample_site.h
@@ -6,24 +6,25 @@
 
 namespace tamaracktrail {
 
-//! A configuration as the operator writes it: routes "safe", "fee", "report"
-//! (a stream) and "ask" (one that may be resumed), the public route
-//! "version-N" that only this version has, and the organisation "cedar" with
-//! the key "key-1".
+//! Configuration in the operator's JSON format: the routes "safe", "fee",
+//! "report" (streaming) and "ask" (resumable streaming), the public route
+//! "version-N" that exists only in version N, and the organisation "cedar" with
+//! the API key "key-1" and `prepaid` tokens.
 std::string SampleConfig(int64_t version, int64_t prepaid);
 
-//! A caller's request on one of the routes; `more` holds further header lines.
+//! A request on one of the routes of SampleConfig. `extra_headers` holds
+//! complete header lines.
 std::string SampleRequest(const std::string& route,
                           const std::string& id,
-                          const std::string& more = "");
+                          const std::string& extra_headers = "");
 
-//! What SampleRequest's streams cost when they are delivered whole, in tokens.
-constexpr int64_t kSampleTokens = 1025;
+//! Tokens charged for a completely delivered stream of SampleRequest.
+constexpr int64_t kSampleStreamTokens = 1025;
 
-//! The whole body of such a stream.
-std::string SampleStream();
+//! Complete body of such a stream.
+std::string SampleStreamBody();
 
-//! What the platform asks the health address.
+//! The platform's readiness request to the health address.
 std::string ReadinessRequest();
 
 }  // namespace tamaracktrail
--- a/tests/support/stand_in_endpoint.cpp
+++ b/tests/support/stand_in_endpoint.cpp
@@ -13,7 +13,7 @@
 
 namespace tamaracktrail {
 
-//! One request at the endpoint.
+//! One request that the endpoint handles.
 class StandInEndpoint::Task : public RequestTask {
  public:
   Task(StandInEndpoint* endpoint,
@@ -25,88 +25,89 @@
 
   ~Task() override {
     endpoint_->loop_->Cancel(&timer_);
-    endpoint_->abandoned_ += runs_ ? 1 : 0;
+    endpoint_->abandoned_ += running_ ? 1 : 0;
   }
 
   void Start() override {
-    const Habits& habits = endpoint_->habits_;
+    const Behaviour& behaviour = endpoint_->behaviour_;
     const auto expected = request_.fields.Find("X-Expected-Instance");
     if (expected && *expected != endpoint_->id_) {
       Reply(421, "");
       return;
     }
-    if (habits.refuse) {
+    if (behaviour.refuse) {
       Reply(503, "X-Not-Executed");
       return;
     }
-    endpoint_->ran_.push_back(request_);
-    runs_ = true;
-    if (habits.silent) {
+    endpoint_->started_requests_.push_back(request_);
+    running_ = true;
+    if (behaviour.silent) {
       return;
     }
-    if (habits.fail) {
+    if (behaviour.fail) {
       Reply(500, "X-Server-Signature");
       return;
     }
     if (request_.fields.Count("X-Token-Usage") == 0) {
-      Reply(200, habits.unsigned_answer ? "X-Other" : "X-Server-Signature");
+      Reply(200, behaviour.unsigned_answer ? "X-Other" : "X-Server-Signature");
       return;
     }
-    const auto last = request_.fields.Find("Last-Event-Id");
-    if (last && !absl::SimpleAtoi(AsAbsl(*last), &next_)) {
-      next_ = 0;
+    const auto last_event_id = request_.fields.Find("Last-Event-Id");
+    if (last_event_id &&
+        !absl::SimpleAtoi(AsAbsl(*last_event_id), &next_event_)) {
+      next_event_ = 0;
     }
     AnswerHead head = Head(200, "X-Server-Signature");
     head.fields.Add("Content-Type", "text/event-stream");
     connection_->BeginAnswer(head);
-    NextEvent();
+    SendNextEvent();
   }
 
   void OnCallerDrained() override {}
 
  private:
-  AnswerHead Head(int status, const char* mark) const {
+  AnswerHead Head(int status, const char* marker_header) const {
     AnswerHead head;
     head.status = status;
     head.reason = "Answer";
     head.fields.Add(
         "X-Request-Id",
         std::string(request_.fields.Find("X-Request-Id").value_or("")));
-    if (*mark != '\0') {
-      head.fields.Add(mark, absl::StrCat("by-", endpoint_->id_));
+    if (*marker_header != '\0') {
+      head.fields.Add(marker_header, absl::StrCat("by-", endpoint_->id_));
     }
     return head;
   }
 
-  void Reply(int status, const char* mark) {
-    runs_ = false;
-    connection_->Answer(Head(status, mark), "body");
+  void Reply(int status, const char* marker_header) {
+    running_ = false;
+    connection_->Answer(Head(status, marker_header), "body");
   }
 
-  void NextEvent() {
-    const Habits& habits = endpoint_->habits_;
-    if (habits.break_after >= 0 && next_ >= habits.break_after) {
-      runs_ = false;
+  void SendNextEvent() {
+    const Behaviour& behaviour = endpoint_->behaviour_;
+    if (behaviour.break_after >= 0 && next_event_ >= behaviour.break_after) {
+      running_ = false;
       connection_->WriteBody("id: 99\nda");
       connection_->BreakOff();
       return;
     }
-    if (next_ >= habits.events) {
-      runs_ = false;
+    if (next_event_ >= behaviour.events) {
+      running_ = false;
       connection_->EndAnswer();
       return;
     }
-    ++next_;
-    connection_->WriteBody(absl::StrCat("id: ", next_, "\ndata: x\n\n"));
-    timer_ =
-        endpoint_->loop_->After(habits.event_pause, [this] { NextEvent(); });
+    ++next_event_;
+    connection_->WriteBody(absl::StrCat("id: ", next_event_, "\ndata: x\n\n"));
+    timer_ = endpoint_->loop_->After(behaviour.event_pause,
+                                     [this] { SendNextEvent(); });
   }
 
   StandInEndpoint* endpoint_;
   CallerConnection* connection_;
   CallerRequest request_;
-  int next_ = 0;
-  bool runs_ = false;
+  int next_event_ = 0;
+  bool running_ = false;
   EventLoop::TimerId timer_{};
 };
 
@@ -142,9 +143,10 @@
 
 int StandInEndpoint::Runs(const std::string& request_id) const {
   return static_cast<int>(
-      std::count_if(ran_.begin(), ran_.end(), [&](const CallerRequest& it) {
-        return it.fields.Find("X-Request-Id") == request_id;
-      }));
+      std::count_if(started_requests_.begin(), started_requests_.end(),
+                    [&](const CallerRequest& it) {
+                      return it.fields.Find("X-Request-Id") == request_id;
+                    }));
 }
 
 }  // namespace tamaracktrail
--- a/tests/support/stand_in_endpoint.h
+++ b/tests/support/stand_in_endpoint.h
@@ -16,19 +16,19 @@
 
 class EventLoop;
 
-//! An endpoint as the platform's pages describe it: plain answers and streams,
-//! with the faults that they name. Not thread-safe.
+//! An endpoint as the platform's documentation specifies it: plain answers and
+//! streams, with the faults named there. Not thread-safe.
 class StandInEndpoint {
  public:
-  //! What it does with requests.
-  struct Habits {
-    int events = 5;                //!< Of a stream.
-    Millis event_pause{2};         //!< Between two of them.
-    bool refuse = false;           //!< 503, marked as not run.
-    bool fail = false;             //!< Its own 500.
+  //! How requests are answered.
+  struct Behaviour {
+    int events = 5;                //!< Number of events in a stream.
+    Millis event_pause{2};         //!< Between two events.
+    bool refuse = false;           //!< Answers 503, marked as not run.
+    bool fail = false;             //!< Answers 500, signed by the endpoint.
     bool silent = false;           //!< Runs the request and never answers.
-    bool unsigned_answer = false;  //!< An answer that is not its own.
-    int break_after = -1;  //!< Breaks a stream off behind so many events.
+    bool unsigned_answer = false;  //!< Answers without a signature.
+    int break_after = -1;  //!< Events before a stream is aborted; -1: never.
   };
 
   //! Listens on a free port of 127.0.0.1.
@@ -37,19 +37,20 @@
 
   const std::string& id() const { return id_; }
   const std::string& address() const { return address_; }
-  Habits& habits() { return habits_; }
+  Behaviour& habits() { return behaviour_; }
 
-  //! Its entry in the directory, under its own address where none is given.
+  //! The endpoint's directory entry as JSON. An empty `address` stands for the
+  //! endpoint's own.
   std::string Entry(const std::string& service,
                     int64_t sequence,
                     bool draining,
                     const std::string& address = "") const;
 
-  //! Requests that it began to work on, in order.
-  const std::vector<CallerRequest>& ran() const { return ran_; }
-  //! How often each request id was run.
+  //! Requests whose work was started, in order.
+  const std::vector<CallerRequest>& ran() const { return started_requests_; }
+  //! How often the request with this id was run.
   int Runs(const std::string& request_id) const;
-  //! Work that its callers did not wait for.
+  //! Number of running requests whose connection was closed before the end.
   int abandoned() const { return abandoned_; }
 
  private:
@@ -59,8 +60,8 @@
   std::string id_;
   Metrics metrics_;
   std::string address_;
-  Habits habits_;
-  std::vector<CallerRequest> ran_;
+  Behaviour behaviour_;
+  std::vector<CallerRequest> started_requests_;
   int abandoned_ = 0;
   std::unique_ptr<RelayServer> server_;
 };
--- a/tests/support/stand_in_store.cpp
+++ b/tests/support/stand_in_store.cpp
@@ -22,11 +22,11 @@
 
 namespace {
 
-//! Pace at which a waiting read looks again.
-constexpr Millis kLook{5};
+//! Interval at which a waiting read checks for new records.
+constexpr Millis kPollInterval{5};
 
-int64_t Number(const std::map<std::string, std::string>& query,
-               const std::string& key) {
+int64_t IntParameter(const std::map<std::string, std::string>& query,
+                     const std::string& key) {
   const auto it = query.find(key);
   int64_t n = 0;
   return it != query.end() && absl::SimpleAtoi(it->second, &n) ? n : 0;
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-//! One call at the store.
+//! One call that the store handles.
 class StandInStore::Task : public RequestTask {
  public:
   Task(StandInStore* store, CallerConnection* connection, CallerRequest request)
@@ -53,7 +53,7 @@
         query_[pair[0]] = pair.size() > 1 ? pair[1] : "";
       }
     }
-    began_ = store_->loop_->Now();
+    start_time_ = store_->loop_->Now();
     if (store_->faults_.silent) {
       return;
     }
@@ -76,14 +76,14 @@
       return;
     }
     if (path_ == platform::kNewestPath) {
-      Reply(store_->List(query_));
+      Reply(store_->ListNewest(query_));
       return;
     }
     const Topic& topic = store_->topics_[query_["topic"]];
-    const Millis wait(Number(query_, "wait_ms"));
-    if (topic.end() <= Number(query_, "from") &&
-        store_->loop_->Now() - began_ < wait) {
-      timer_ = store_->loop_->After(kLook, [this] { Run(); });
+    const Millis wait(IntParameter(query_, "wait_ms"));
+    if (topic.end() <= IntParameter(query_, "from") &&
+        store_->loop_->Now() - start_time_ < wait) {
+      timer_ = store_->loop_->After(kPollInterval, [this] { Run(); });
       return;
     }
     Reply(store_->Read(query_));
@@ -101,7 +101,7 @@
   CallerRequest request_;
   std::string path_;
   std::map<std::string, std::string> query_;
-  Millis began_;
+  Millis start_time_;
   EventLoop::TimerId timer_{};
 };
 
@@ -118,7 +118,7 @@
 
 StandInStore::~StandInStore() = default;
 
-void StandInStore::Store(Topic* topic, const StoreRecord& record) {
+void StandInStore::ApplyRecord(Topic* topic, const StoreRecord& record) {
   topic->records.push_back(record);
   if (record.value.empty()) {
     topic->newest.erase(record.key);
@@ -130,12 +130,12 @@
 void StandInStore::Put(const std::string& topic,
                        const std::string& key,
                        const std::string& value) {
-  Store(&topics_[topic], {key, value});
+  ApplyRecord(&topics_[topic], {key, value});
 }
 
 void StandInStore::Compact(const std::string& name) {
   Topic& topic = topics_[name];
-  topic.first = topic.end();
+  topic.first_offset = topic.end();
   topic.records.clear();
 }
 
@@ -153,11 +153,12 @@
     const std::map<std::string, std::string>& query,
     const std::string& body) {
   Topic& topic = topics_[query.at("topic")];
-  const auto name = query.find("producer");
-  Producer* producer =
-      name == query.end() ? nullptr : &topic.producers[name->second];
-  const auto epoch = static_cast<uint64_t>(Number(query, "epoch"));
-  const auto sequence = static_cast<uint64_t>(Number(query, "sequence"));
+  const auto producer_name = query.find("producer");
+  Producer* producer = producer_name == query.end()
+                           ? nullptr
+                           : &topic.producers[producer_name->second];
+  const auto epoch = static_cast<uint64_t>(IntParameter(query, "epoch"));
+  const auto sequence = static_cast<uint64_t>(IntParameter(query, "sequence"));
   if (producer != nullptr) {
     if (epoch < producer->epoch) {
       return {409, json{{"reason", "fenced"}}.dump()};
@@ -165,7 +166,7 @@
     if (epoch > producer->epoch) {
       *producer = {epoch, 0, false, ""};
     }
-    if (producer->any && !body.empty()) {
+    if (producer->has_sequence && !body.empty()) {
       if (sequence == producer->sequence) {
         return {200, producer->answer};
       }
@@ -177,15 +178,15 @@
     }
   }
   const int64_t offset = topic.end();
-  // Records of an append are framed as those of a read.
+  // An append has the record format of a read, without its 16 bytes of offsets.
   const auto batch = platform::DecodeBatch(std::string(16, '\0') + body);
   for (const StoreRecord& it : batch->records) {
-    Store(&topic, it);
+    ApplyRecord(&topic, it);
   }
   const std::string answer =
       json{{"offset", offset}, {"end_offset", topic.end()}}.dump();
   if (producer != nullptr && !body.empty()) {
-    producer->any = true;
+    producer->has_sequence = true;
     producer->sequence = sequence;
     producer->answer = answer;
   }
@@ -195,23 +196,24 @@
 StandInStore::Answer StandInStore::Read(
     const std::map<std::string, std::string>& query) {
   const Topic& topic = topics_[query.at("topic")];
-  const int64_t from = Number(query, "from");
-  if (from < topic.first) {
-    return {410, json{{"first_offset", topic.first}}.dump()};
+  const int64_t from = IntParameter(query, "from");
+  if (from < topic.first_offset) {
+    return {410, json{{"first_offset", topic.first_offset}}.dump()};
   }
   unsigned char offsets[16];
   boost::endian::store_big_u64(offsets, static_cast<uint64_t>(topic.end()));
-  boost::endian::store_big_u64(offsets + 8, static_cast<uint64_t>(topic.first));
+  boost::endian::store_big_u64(offsets + 8,
+                               static_cast<uint64_t>(topic.first_offset));
   std::string body(reinterpret_cast<const char*>(offsets), sizeof(offsets));
   const auto begin = static_cast<size_t>(std::min<int64_t>(
-      from - topic.first, static_cast<int64_t>(topic.records.size())));
+      from - topic.first_offset, static_cast<int64_t>(topic.records.size())));
   body += platform::EncodeRecords(
       {topic.records.begin() + static_cast<int64_t>(begin),
        topic.records.end()});
   return {200, body};
 }
 
-StandInStore::Answer StandInStore::List(
+StandInStore::Answer StandInStore::ListNewest(
     const std::map<std::string, std::string>& query) {
   const Topic& topic = topics_[query.at("topic")];
   json items = json::array();
--- a/tests/support/stand_in_store.h
+++ b/tests/support/stand_in_store.h
@@ -16,15 +16,15 @@
 
 class EventLoop;
 
-//! The platform's store as its pages describe it, for keyed topics with one
-//! partition, with the faults that they name. Not thread-safe.
+//! The platform's store as its documentation specifies it, for keyed topics
+//! with one partition, with the faults named there. Not thread-safe.
 class StandInStore {
  public:
-  //! What happens to calls; several may hold.
+  //! Faults of calls; they can be combined.
   struct Faults {
-    bool refuse = false;        //!< 503, nothing was done.
-    bool silent = false;        //!< No answer, nothing was done.
-    bool lose_appends = false;  //!< Appends are done and not answered.
+    bool refuse = false;        //!< Answers 503 without effect.
+    bool silent = false;        //!< No answer and no effect.
+    bool lose_appends = false;  //!< Appends take effect and get no answer.
     Millis delay;
   };
 
@@ -40,10 +40,11 @@
            const std::string& key,
            const std::string& value);
 
-  //! Forgets all but the newest record of each key.
+  //! Compacts the log of a topic: reads from older offsets are refused, and
+  //! only the newest record of each key is kept, for Newest() and lists.
   void Compact(const std::string& topic);
 
-  //! The newest value of a key; empty for none.
+  //! The newest value of a key; empty if there is none.
   std::string Newest(const std::string& topic, const std::string& key) const;
 
   uint64_t calls() const { return calls_; }
@@ -53,16 +54,18 @@
   struct Producer {
     uint64_t epoch = 0;
     uint64_t sequence = 0;
-    bool any = false;
+    bool has_sequence = false;
     std::string answer;
   };
   struct Topic {
-    int64_t first = 0;
-    std::vector<platform::StoreRecord> records;  //!< From `first`.
+    int64_t first_offset = 0;
+    std::vector<platform::StoreRecord> records;  //!< From `first_offset`.
     std::map<std::string, platform::StoreRecord> newest;
     std::map<std::string, Producer> producers;
 
-    int64_t end() const { return first + static_cast<int64_t>(records.size()); }
+    int64_t end() const {
+      return first_offset + static_cast<int64_t>(records.size());
+    }
   };
 
   //! Status and body of an answer.
@@ -71,8 +74,8 @@
   Answer Append(const std::map<std::string, std::string>& query,
                 const std::string& body);
   Answer Read(const std::map<std::string, std::string>& query);
-  Answer List(const std::map<std::string, std::string>& query);
-  static void Store(Topic* topic, const platform::StoreRecord& record);
+  Answer ListNewest(const std::map<std::string, std::string>& query);
+  static void ApplyRecord(Topic* topic, const platform::StoreRecord& record);
 
   EventLoop* loop_;
   Metrics metrics_;
