--- a/tests/standins/main.cpp
+++ b/tests/standins/main.cpp
@@ -19,7 +19,7 @@
 
 using tamaracktrail::StandInServer;
 
-std::unique_ptr<StandInServer> Make(const std::string& kind) {
+std::unique_ptr<StandInServer> MakeStandIn(const std::string& kind) {
   if (kind == "log") {
     return std::make_unique<tamaracktrail::StandInLog>();
   }
@@ -38,8 +38,8 @@
 }  // namespace
 
 //! Runs stand-ins until SIGTERM. Each argument is NAME:PORT, where NAME is log,
-//! list, weights, records or the name of an engine, and port 0 is a free one.
-//! Prints NAME PORT for each.
+//! list, weights, records or the name of an engine, and PORT 0 chooses a free
+//! port. Prints NAME PORT for each.
 int main(int argc, char** argv) {
   FLAGS_logtostderr = true;
   google::InitGoogleLogging(argv[0]);
@@ -51,7 +51,7 @@
       std::cerr << "usage: standins NAME:PORT...\n";
       return 2;
     }
-    servers.push_back(Make(parts[0]));
+    servers.push_back(MakeStandIn(parts[0]));
     std::cout << parts[0] << " " << servers.back()->Listen(port) << std::endl;
   }
   GMainLoop* loop = g_main_loop_new(nullptr, FALSE);
--- a/tests/support/stand_in_engine.cpp
+++ b/tests/support/stand_in_engine.cpp
@@ -16,15 +16,15 @@
 
 struct StandInEngine::Stream {
   SoupServerMessage* message = nullptr;
-  gulong finished = 0;
+  gulong finished_handler = 0;
   std::string attempt;
   std::string prompt;
   bool chat = true;
   int priority = 5;
-  uint64_t next = 0;
-  uint64_t words = 0;
-  uint64_t wrong_at = UINT64_MAX;
-  bool gone = false;
+  uint64_t next_word = 0;
+  uint64_t word_count = 0;
+  uint64_t wrong_attempt_at = UINT64_MAX;
+  bool cancelled = false;
 };
 
 namespace {
@@ -40,14 +40,14 @@
   return prompt;
 }
 
-uint64_t WordsOf(const std::string& prompt, int64_t max_tokens) {
-  constexpr uint64_t kDefaultWords = 12;
-  uint64_t words = kDefaultWords;
+uint64_t WordCountOf(const std::string& prompt, int64_t max_tokens) {
+  constexpr uint64_t kDefaultWordCount = 12;
+  uint64_t word_count = kDefaultWordCount;
   const size_t at = prompt.find("words=");
   if (at != std::string::npos) {
-    words = std::strtoull(prompt.c_str() + at + 6, nullptr, 10);
+    word_count = std::strtoull(prompt.c_str() + at + 6, nullptr, 10);
   }
-  return std::min<uint64_t>(words, static_cast<uint64_t>(max_tokens));
+  return std::min<uint64_t>(word_count, static_cast<uint64_t>(max_tokens));
 }
 
 int64_t PromptTokens(const std::string& prompt) {
@@ -58,10 +58,10 @@
 }  // namespace
 
 StandInEngine::StandInEngine(std::string name)
-    : name_(std::move(name)), boot_(StableHash(name_)) {}
+    : name_(std::move(name)), boot_id_(StableHash(name_)) {}
 
 void StandInEngine::OnControl() {
-  const std::string load = Switch("load", std::string());
+  const std::string load = ControlValue("load", std::string());
   if (!load.empty()) {
     loaded_.insert(load);
   }
@@ -71,11 +71,11 @@
                               const std::string& path,
                               const Query& query) {
   if (path == "/cache_events") {
-    CacheEvents(message, query);
+    HandleCacheEvents(message, query);
   } else if (path == "/health") {
-    Health(message);
+    HandleHealth(message);
   } else if (path == "/orders") {
-    TakeOrder(message);
+    HandleOrder(message);
   } else if (path.ends_with("/completions")) {
     Generate(message, path);
   } else if (path == "/stats") {
@@ -88,28 +88,29 @@
   }
 }
 
-void StandInEngine::Health(SoupServerMessage* message) {
+void StandInEngine::HandleHealth(SoupServerMessage* message) {
   const int64_t now = MonotonicNow().count();
-  const int64_t lag = Switch("load_lag_ms", int64_t{200});
+  const int64_t lag = ControlValue("load_lag_ms", int64_t{200});
   load_history_.emplace_back(now, running_.size() + waiting_.size());
   while (load_history_.size() > 1 && load_history_[1].first + lag <= now) {
     load_history_.pop_front();
   }
   Reply(message, 200,
-        json{{"boot_id", Hex(boot_)},
-             {"leaving", Switch("leaving", false)},
+        json{{"boot_id", Hex(boot_id_)},
+             {"leaving", ControlValue("leaving", false)},
              {"load", load_history_.front().second},
              {"loaded", loaded_}});
 }
 
-void StandInEngine::TakeOrder(SoupServerMessage* message) {
+void StandInEngine::HandleOrder(SoupServerMessage* message) {
   const json body = json::parse(Body(message), nullptr, false);
   const uint64_t number = body.value("fencing_number", uint64_t{0});
-  if (Switch("checks_fencing", true) && number < highest_fencing_) {
+  if (ControlValue("checks_fencing", true) &&
+      number < highest_fencing_number_) {
     Reply(message, 409, json{{"error", "old fencing number"}});
     return;
   }
-  highest_fencing_ = std::max(highest_fencing_, number);
+  highest_fencing_number_ = std::max(highest_fencing_number_, number);
   const std::string target = body.value("target", "");
   if (body.value("action", "") == "unload") {
     loaded_.erase(target);
@@ -121,7 +122,7 @@
 
 void StandInEngine::Generate(SoupServerMessage* message,
                              const std::string& path) {
-  if (Switch("refuse", false) || Switch("leaving", false)) {
+  if (ControlValue("refuse", false) || ControlValue("leaving", false)) {
     soup_message_headers_replace(
         soup_server_message_get_response_headers(message), "X-Not-Run", "1");
     Reply(message, 503, json{{"error", "refused"}});
@@ -131,7 +132,7 @@
   auto stream = std::make_shared<Stream>();
   stream->prompt = PromptOf(body);
   if (stream->prompt.find("CRASH") != std::string::npos) {
-    Cut(message);
+    CutConnection(message);
     Crash();
     return;
   }
@@ -139,14 +140,15 @@
   stream->message = message;
   stream->chat = path.find("chat") != std::string::npos;
   stream->attempt = Header(message, "X-Attempt-Id");
-  stream->words = WordsOf(stream->prompt, body.value("max_tokens", 16));
-  stream->next = std::strtoull(Header(message, "X-Resume-From").c_str(),
-                               nullptr, kDecimal);
+  stream->word_count =
+      WordCountOf(stream->prompt, body.value("max_tokens", 16));
+  stream->next_word = std::strtoull(Header(message, "X-Resume-From").c_str(),
+                                    nullptr, kDecimal);
   stream->priority = static_cast<int>(
       std::strtol(Header(message, "X-Priority").c_str(), nullptr, kDecimal));
-  if (Switch("wrong_attempt", false)) {
-    switches()["wrong_attempt"] = false;
-    stream->wrong_at = stream->next + 1;
+  if (ControlValue("wrong_attempt", false)) {
+    control_values()["wrong_attempt"] = false;
+    stream->wrong_attempt_at = stream->next_word + 1;
   }
   g_object_ref(message);
   soup_server_message_set_status(message, 200, nullptr);
@@ -157,9 +159,9 @@
   soup_message_body_set_accumulate(
       soup_server_message_get_response_body(message), FALSE);
   soup_server_message_pause(message);
-  stream->finished = g_signal_connect(
+  stream->finished_handler = g_signal_connect(
       message, "finished", G_CALLBACK(+[](SoupServerMessage*, gpointer data) {
-        static_cast<Stream*>(data)->gone = true;
+        static_cast<Stream*>(data)->cancelled = true;
       }),
       stream.get());
   waiting_.push_back(stream);
@@ -168,14 +170,14 @@
 
 void StandInEngine::StartNext() {
   while (!waiting_.empty() &&
-         running_.size() < Switch("capacity", size_t{16})) {
+         running_.size() < ControlValue("capacity", size_t{16})) {
     const auto it = std::min_element(
         waiting_.begin(), waiting_.end(),
         [](const auto& a, const auto& b) { return a->priority < b->priority; });
     const std::shared_ptr<Stream> stream = *it;
     waiting_.erase(it);
     running_.insert(stream);
-    Run(stream);
+    Prefill(stream);
   }
 }
 
@@ -188,38 +190,38 @@
   }
   cache_.push_front(prefix);
   if (!hit) {
-    Publish("cached", prefix);
+    PublishCacheEvent("cached", prefix);
   }
-  if (cache_.size() > Switch("cache_entries", size_t{32})) {
-    Publish("evicted", cache_.back());
+  if (cache_.size() > ControlValue("cache_entries", size_t{32})) {
+    PublishCacheEvent("evicted", cache_.back());
     cache_.pop_back();
   }
   return hit;
 }
 
-void StandInEngine::Publish(const std::string& kind,
-                            const std::string& prefix) {
-  constexpr size_t kKeptEvents = 1000;
+void StandInEngine::PublishCacheEvent(const std::string& kind,
+                                      const std::string& prefix) {
+  constexpr size_t kMaxCacheEvents = 1000;
   ++cache_sequence_;
-  if (cache_sequence_ % Switch("event_gap", uint64_t{7}) == 0) {
+  if (cache_sequence_ % ControlValue("event_gap", uint64_t{7}) == 0) {
     return;
   }
   cache_events_.push_back(
       {cache_sequence_, MonotonicNow().count(), kind, Hex(StableHash(prefix))});
-  if (cache_events_.size() > kKeptEvents) {
+  if (cache_events_.size() > kMaxCacheEvents) {
     cache_events_.pop_front();
   }
 }
 
-void StandInEngine::CacheEvents(SoupServerMessage* message,
-                                const Query& query) {
+void StandInEngine::HandleCacheEvents(SoupServerMessage* message,
+                                      const Query& query) {
   const auto it = query.find("from");
   const uint64_t from = it == query.end() ? 1 : std::stoull(it->second);
-  const int64_t seen =
-      MonotonicNow().count() - Switch("event_lag_ms", int64_t{300});
+  const int64_t visible_until =
+      MonotonicNow().count() - ControlValue("event_lag_ms", int64_t{300});
   json events = json::array();
   for (const CacheEvent& event : cache_events_) {
-    if (event.sequence >= from && event.at <= seen) {
+    if (event.sequence >= from && event.time_ms <= visible_until) {
       events.push_back({{"sequence", event.sequence},
                         {"kind", event.kind},
                         {"prefix", event.prefix}});
@@ -228,40 +230,40 @@
   Reply(message, 200, json{{"events", events}});
 }
 
-void StandInEngine::Run(const std::shared_ptr<Stream>& stream) {
+void StandInEngine::Prefill(const std::shared_ptr<Stream>& stream) {
   const bool hit = TouchCache(stream->prompt.substr(0, kPrefixBytes));
-  const int64_t wait = hit ? Switch("cached_prefill_ms", int64_t{2})
-                           : Switch("prefill_ms", int64_t{10});
+  const int64_t wait = hit ? ControlValue("cached_prefill_ms", int64_t{2})
+                           : ControlValue("prefill_ms", int64_t{10});
   After(wait, [this, stream] { Step(stream); });
 }
 
 void StandInEngine::Step(const std::shared_ptr<Stream>& stream) {
-  if (stream->gone) {
+  if (stream->cancelled) {
     End(stream);
     return;
   }
-  const int64_t cut_after = Switch("cut_after", int64_t{-1});
-  if (cut_after >= 0 && stream->next >= static_cast<uint64_t>(cut_after)) {
-    switches()["cut_after"] = -1;
-    Cut(stream->message);
+  const int64_t cut_after = ControlValue("cut_after", int64_t{-1});
+  if (cut_after >= 0 && stream->next_word >= static_cast<uint64_t>(cut_after)) {
+    control_values()["cut_after"] = -1;
+    CutConnection(stream->message);
     soup_server_message_unpause(stream->message);
     End(stream);
     return;
   }
-  if (stream->next >= stream->words) {
-    SendEnd(*stream);
+  if (stream->next_word >= stream->word_count) {
+    SendLastEvent(*stream);
     End(stream);
     return;
   }
   SendChunk(*stream);
-  ++stream->next;
-  const int64_t pause = Switch("token_ms", int64_t{3});
-  After(pause, [this, stream] { Step(stream); });
+  ++stream->next_word;
+  const int64_t interval = ControlValue("token_ms", int64_t{3});
+  After(interval, [this, stream] { Step(stream); });
 }
 
 void StandInEngine::SendChunk(Stream& stream) {
   const std::string word = absl::StrCat(
-      Hex(StableHash(stream.prompt, stream.next)).substr(0, 4), " ");
+      Hex(StableHash(stream.prompt, stream.next_word)).substr(0, 4), " ");
   json choice = {{"index", 0}};
   if (stream.chat) {
     choice["delta"] = {{"content", word}};
@@ -270,8 +272,8 @@
   }
   const json chunk = {{"choices", json::array({choice})}};
   const std::string attempt =
-      stream.next == stream.wrong_at ? "another" : stream.attempt;
-  const std::string event = absl::StrCat("id: ", attempt, ":", stream.next,
+      stream.next_word == stream.wrong_attempt_at ? "another" : stream.attempt;
+  const std::string event = absl::StrCat("id: ", attempt, ":", stream.next_word,
                                          "\ndata: ", chunk.dump(), "\n\n");
   soup_message_body_append(
       soup_server_message_get_response_body(stream.message), SOUP_MEMORY_COPY,
@@ -279,13 +281,13 @@
   soup_server_message_unpause(stream.message);
 }
 
-void StandInEngine::SendEnd(Stream& stream) {
+void StandInEngine::SendLastEvent(Stream& stream) {
   const json usage = {{"choices", json::array()},
                       {"usage",
                        {{"prompt_tokens", PromptTokens(stream.prompt)},
-                        {"completion_tokens", stream.words}}}};
+                        {"completion_tokens", stream.word_count}}}};
   const std::string event =
-      absl::StrCat("id: ", stream.attempt, ":", stream.next,
+      absl::StrCat("id: ", stream.attempt, ":", stream.next_word,
                    "\ndata: ", usage.dump(), "\n\ndata: [DONE]\n\n");
   SoupMessageBody* body = soup_server_message_get_response_body(stream.message);
   soup_message_body_append(body, SOUP_MEMORY_COPY, event.data(), event.size());
@@ -295,7 +297,7 @@
 
 void StandInEngine::End(const std::shared_ptr<Stream>& stream) {
   if (running_.erase(stream) > 0) {
-    g_signal_handler_disconnect(stream->message, stream->finished);
+    g_signal_handler_disconnect(stream->message, stream->finished_handler);
     g_object_unref(stream->message);
     StartNext();
   }
@@ -303,17 +305,18 @@
 
 void StandInEngine::Crash() {
   ++crashes_;
-  ++boot_;
+  ++boot_id_;
   for (const auto& stream : std::set(running_)) {
-    Cut(stream->message);
-    stream->gone = true;
+    CutConnection(stream->message);
+    stream->cancelled = true;
   }
   waiting_.clear();
   cache_.clear();
-  const int at = port();
-  After(0, [this, at] {
+  const int listen_port = port();
+  After(0, [this, listen_port] {
     Close();
-    After(Switch("restart_ms", int64_t{500}), [this, at] { Listen(at); });
+    After(ControlValue("restart_ms", int64_t{500}),
+          [this, listen_port] { Listen(listen_port); });
   });
 }
 
--- a/tests/support/stand_in_engine.h
+++ b/tests/support/stand_in_engine.h
@@ -14,16 +14,17 @@
 
 namespace tamaracktrail {
 
-//! A model engine: batches, caches prompt prefixes in limited memory, streams,
-//! resumes, and reports its load with a lag.
+//! A model engine with batching, a bounded prefix cache, streaming, resumption
+//! and a delayed load report.
 //!
-//! The text is a function of the prompt; "words=N" in the prompt asks for N
-//! words. A prompt with "CRASH" crashes the engine: all connections are cut and
-//! it is away for "restart_ms". /cache_events?from=N tells of cached and
-//! evicted prefixes late ("event_lag_ms") and with gaps (each "event_gap"th is
-//! lost). Switches: "capacity", "token_ms", "prefill_ms", "cached_prefill_ms",
-//! "cache_entries", "leaving", "load_lag_ms", "cut_after" (chunks; once),
-//! "wrong_attempt" (once), "refuse" (bool), "checks_fencing", "restart_ms".
+//! The generated text depends only on the prompt; "words=N" in the prompt
+//! requests N words. A prompt that contains "CRASH" crashes the engine: it cuts
+//! all connections and stops listening for "restart_ms". /cache_events?from=N
+//! reports cached and evicted prefixes after "event_lag_ms" and with gaps
+//! (every "event_gap"th event is dropped). Control keys: "capacity",
+//! "token_ms", "prefill_ms", "cached_prefill_ms", "cache_entries", "leaving",
+//! "load_lag_ms", "cut_after" (chunks; once), "wrong_attempt" (once), "refuse"
+//! (bool), "checks_fencing", "restart_ms".
 class StandInEngine : public StandInServer {
  public:
   explicit StandInEngine(std::string name);
@@ -38,33 +39,33 @@
                  const std::string& path,
                  const Query& query) override;
   void OnControl() override;
-  void Health(SoupServerMessage* message);
-  void TakeOrder(SoupServerMessage* message);
+  void HandleHealth(SoupServerMessage* message);
+  void HandleOrder(SoupServerMessage* message);
   void Generate(SoupServerMessage* message, const std::string& path);
   void StartNext();
-  void Run(const std::shared_ptr<Stream>& stream);
+  void Prefill(const std::shared_ptr<Stream>& stream);
   void Step(const std::shared_ptr<Stream>& stream);
   void SendChunk(Stream& stream);
-  void SendEnd(Stream& stream);
+  void SendLastEvent(Stream& stream);
   void End(const std::shared_ptr<Stream>& stream);
   void Crash();
   bool TouchCache(const std::string& prefix);
-  void Publish(const std::string& kind, const std::string& prefix);
-  void CacheEvents(SoupServerMessage* message, const Query& query);
+  void PublishCacheEvent(const std::string& kind, const std::string& prefix);
+  void HandleCacheEvents(SoupServerMessage* message, const Query& query);
 
   std::string name_;
-  uint64_t boot_ = 0;
+  uint64_t boot_id_ = 0;
   uint64_t runs_ = 0;
   uint64_t crashes_ = 0;
   uint64_t cache_hits_ = 0;
-  uint64_t highest_fencing_ = 0;
+  uint64_t highest_fencing_number_ = 0;
   std::set<std::string> loaded_;
   std::set<std::shared_ptr<Stream>> running_;
   std::deque<std::shared_ptr<Stream>> waiting_;
-  std::list<std::string> cache_;  //!< Prefixes, the last used first.
+  std::list<std::string> cache_;  //!< Prefixes, most recently used first.
   struct CacheEvent {
     uint64_t sequence = 0;
-    int64_t at = 0;  //!< Milliseconds, when it happened.
+    int64_t time_ms = 0;  //!< Monotonic time of the event.
     std::string kind;
     std::string prefix;
   };
--- a/tests/support/stand_in_log.cpp
+++ b/tests/support/stand_in_log.cpp
@@ -16,7 +16,7 @@
                            const Query& query) {
   const std::string prefix = "/streams/";
   const std::string suffix = "/records";
-  if (Switch("outage", false)) {
+  if (ControlValue("outage", false)) {
     Reply(message, 503, json{{"error", "outage"}});
     return;
   }
@@ -33,7 +33,7 @@
       Read(message, stream, query);
     }
   };
-  const int64_t delay = Switch("delay_ms", int64_t{0});
+  const int64_t delay = ControlValue("delay_ms", int64_t{0});
   if (delay == 0) {
     serve();
     return;
@@ -47,17 +47,18 @@
   });
 }
 
-bool StandInLog::OverRate() {
-  const int64_t second = MonotonicNow().count() / kSecond.count();
-  if (second != second_) {
-    second_ = second;
-    in_second_ = 0;
+bool StandInLog::ExceedsAppendRate() {
+  const int64_t current_second = MonotonicNow().count() / kSecond.count();
+  if (current_second != current_second_) {
+    current_second_ = current_second;
+    appends_in_second_ = 0;
   }
-  return ++in_second_ > Switch("appends_per_second", int64_t{400});
+  return ++appends_in_second_ >
+         ControlValue("appends_per_second", int64_t{400});
 }
 
 void StandInLog::Append(SoupServerMessage* message, const std::string& stream) {
-  if (OverRate()) {
+  if (ExceedsAppendRate()) {
     Reply(message, 429, json{{"error", "too many appends"}});
     return;
   }
@@ -70,61 +71,61 @@
   it.entries.push_back(body["data"].get<std::string>());
   ++appends_;
   const uint64_t offset = it.end() - 1;
-  while (it.entries.size() > Switch("keep", uint64_t{1} << 40)) {
+  while (it.entries.size() > ControlValue("keep", uint64_t{1} << 40)) {
     it.entries.pop_front();
-    ++it.first;
+    ++it.first_offset;
   }
-  const int64_t lose = Switch("lose_answers", int64_t{0});
-  if (lose > 0) {
-    switches()["lose_answers"] = lose - 1;
-    Cut(message);
+  const int64_t lost_answers_left = ControlValue("lose_answers", int64_t{0});
+  if (lost_answers_left > 0) {
+    control_values()["lose_answers"] = lost_answers_left - 1;
+    CutConnection(message);
   } else {
     Reply(message, 200, json{{"offset", offset}});
   }
-  Wake(stream);
+  AnswerPendingReads(stream);
 }
 
 void StandInLog::Read(SoupServerMessage* message,
                       const std::string& stream,
                       const Query& query) {
-  auto reader = std::make_shared<Reader>();
-  reader->message = message;
-  reader->stream = stream;
-  reader->from = std::stoull(query.at("from"));
-  reader->most = std::stoull(query.at("max"));
+  auto read = std::make_shared<PendingRead>();
+  read->message = message;
+  read->stream = stream;
+  read->from = std::stoull(query.at("from"));
+  read->max_records = std::stoull(query.at("max"));
   const int64_t wait = std::stoll(query.at("wait_ms"));
-  if (reader->from < streams_[stream].end() || wait == 0) {
-    Answer(*reader);
+  if (read->from < streams_[stream].end() || wait == 0) {
+    Answer(*read);
     return;
   }
   soup_server_message_pause(message);
   g_object_ref(message);
-  readers_.push_back(reader);
-  const auto end = [this, reader] {
-    if (!reader->done) {
-      Answer(*reader);
-      soup_server_message_unpause(reader->message);
-      g_object_unref(reader->message);
+  pending_reads_.push_back(read);
+  const auto on_timeout = [this, read] {
+    if (!read->done) {
+      Answer(*read);
+      soup_server_message_unpause(read->message);
+      g_object_unref(read->message);
     }
   };
-  After(wait, end);
+  After(wait, on_timeout);
 }
 
-void StandInLog::Answer(Reader& reader) {
-  reader.done = true;
-  const Stream& it = streams_[reader.stream];
+void StandInLog::Answer(PendingRead& read) {
+  read.done = true;
+  const Stream& it = streams_[read.stream];
   json records = json::array();
-  const uint64_t from = std::max(reader.from, it.first);
-  const uint64_t to = std::min<uint64_t>(it.end(), from + reader.most);
+  const uint64_t from = std::max(read.from, it.first_offset);
+  const uint64_t to = std::min<uint64_t>(it.end(), from + read.max_records);
   for (uint64_t offset = from; offset < to; ++offset) {
     records.push_back(
-        {{"offset", offset}, {"data", it.entries[offset - it.first]}});
+        {{"offset", offset}, {"data", it.entries[offset - it.first_offset]}});
   }
-  Reply(reader.message, 200, json{{"records", records}, {"end", it.end()}});
+  Reply(read.message, 200, json{{"records", records}, {"end", it.end()}});
 }
 
-void StandInLog::Wake(const std::string& stream) {
-  for (const auto& it : readers_) {
+void StandInLog::AnswerPendingReads(const std::string& stream) {
+  for (const auto& it : pending_reads_) {
     if (!it->done && it->stream == stream &&
         it->from < streams_[stream].end()) {
       Answer(*it);
@@ -132,7 +133,7 @@
       g_object_unref(it->message);
     }
   }
-  std::erase_if(readers_, [](const auto& it) { return it->done; });
+  std::erase_if(pending_reads_, [](const auto& it) { return it->done; });
 }
 
 }  // namespace tamaracktrail
--- a/tests/support/stand_in_log.h
+++ b/tests/support/stand_in_log.h
@@ -11,24 +11,24 @@
 
 namespace tamaracktrail {
 
-//! The platform's log. Switches: "outage" (bool), "delay_ms", "lose_answers"
-//! (number of further appends that take effect unanswered), "keep" (entries
-//! kept of each stream), "appends_per_second".
+//! The platform's log. Control keys: "outage" (bool), "delay_ms",
+//! "lose_answers" (number of next appends that take effect and get no answer),
+//! "keep" (entries retained per stream), "appends_per_second".
 class StandInLog : public StandInServer {
  public:
   uint64_t appends() const { return appends_; }
 
  private:
   struct Stream {
-    uint64_t first = 1;
-    std::deque<std::string> entries;  //!< Base64, as they came.
-    uint64_t end() const { return first + entries.size(); }
+    uint64_t first_offset = 1;
+    std::deque<std::string> entries;  //!< Base64, as received.
+    uint64_t end() const { return first_offset + entries.size(); }
   };
-  struct Reader {
+  struct PendingRead {
     SoupServerMessage* message = nullptr;
     std::string stream;
     uint64_t from = 0;
-    size_t most = 0;
+    size_t max_records = 0;
     bool done = false;
   };
 
@@ -39,15 +39,15 @@
   void Read(SoupServerMessage* message,
             const std::string& stream,
             const Query& query);
-  void Answer(Reader& reader);
-  void Wake(const std::string& stream);
-  bool OverRate();
+  void Answer(PendingRead& read);
+  void AnswerPendingReads(const std::string& stream);
+  bool ExceedsAppendRate();
 
   std::map<std::string, Stream> streams_;
-  std::vector<std::shared_ptr<Reader>> readers_;
+  std::vector<std::shared_ptr<PendingRead>> pending_reads_;
   uint64_t appends_ = 0;
-  int64_t second_ = 0;
-  int64_t in_second_ = 0;
+  int64_t current_second_ = 0;
+  int64_t appends_in_second_ = 0;
 };
 
 }  // namespace tamaracktrail
--- a/tests/support/stand_in_server.cpp
+++ b/tests/support/stand_in_server.cpp
@@ -25,7 +25,7 @@
         auto* self = static_cast<StandInServer*>(data);
         if (std::string(path) == "/control") {
           self->Control(nlohmann::json::parse(Body(message), nullptr, false));
-          Reply(message, 200, self->switches_);
+          Reply(message, 200, self->control_values_);
           return;
         }
         Query query;
@@ -43,11 +43,11 @@
       this, nullptr);
   GSocketAddress* address = g_inet_socket_address_new_from_string(
       "127.0.0.1", static_cast<guint>(port));
-  GError* ec = nullptr;
+  GError* error = nullptr;
   const bool ok = soup_server_listen(
-      server_, address, static_cast<SoupServerListenOptions>(0), &ec);
+      server_, address, static_cast<SoupServerListenOptions>(0), &error);
   g_object_unref(address);
-  CHECK(ok) << "cannot listen on port " << port << ": " << ec->message;
+  CHECK(ok) << "cannot listen on port " << port << ": " << error->message;
   GSList* uris = soup_server_get_uris(server_);
   port_ = g_uri_get_port(static_cast<GUri*>(uris->data));
   g_slist_free_full(uris,
@@ -62,9 +62,9 @@
   }
 }
 
-void StandInServer::Control(const nlohmann::json& switches) {
-  if (switches.is_object()) {
-    switches_.update(switches);
+void StandInServer::Control(const nlohmann::json& control_values) {
+  if (control_values.is_object()) {
+    control_values_.update(control_values);
     OnControl();
   }
 }
@@ -99,7 +99,7 @@
   return soup_server_message_get_method(message);
 }
 
-void StandInServer::Cut(SoupServerMessage* message) {
+void StandInServer::CutConnection(SoupServerMessage* message) {
   GSocket* socket = soup_server_message_get_socket(message);
   if (socket != nullptr) {
     g_socket_shutdown(socket, TRUE, TRUE, nullptr);
--- a/tests/support/stand_in_server.h
+++ b/tests/support/stand_in_server.h
@@ -12,9 +12,9 @@
 
 namespace tamaracktrail {
 
-//! Base of the platform's and the endpoints' stand-ins: an HTTP server whose
-//! faults are switched by POST /control with a JSON object. Belongs to the
-//! thread that made it.
+//! Base class of the stand-ins for the platform's services and for endpoints:
+//! an HTTP server whose faults are set by POST /control with a JSON object of
+//! control keys. To be used only on the thread that created it.
 class StandInServer {
  public:
   StandInServer();
@@ -23,14 +23,15 @@
   StandInServer(const StandInServer&) = delete;
   StandInServer& operator=(const StandInServer&) = delete;
 
-  //! Listens on 127.0.0.1; port 0 takes a free one. Returns the port.
+  //! Listens on 127.0.0.1; port 0 chooses a free port. Returns the port.
   int Listen(int port);
 
-  //! Stops listening and cuts all connections; Listen may follow.
+  //! Stops listening and closes all connections. Listen() may be called again.
   void Close();
 
-  //! Sets faults and other switches.
-  void Control(const nlohmann::json& switches);
+  //! Updates the control values, as POST /control does. Ignores a value that is
+  //! not a JSON object.
+  void Control(const nlohmann::json& control_values);
 
   int port() const { return port_; }
 
@@ -42,12 +43,12 @@
                          const Query& query) = 0;
   virtual void OnControl() {}
 
-  //! The switch of this name, or the fallback.
+  //! The control value of this key, or `fallback` if it is not set.
   template <class T>
-  T Switch(const char* name, T fallback) const {
-    return switches_.value(name, fallback);
+  T ControlValue(const char* name, T fallback) const {
+    return control_values_.value(name, fallback);
   }
-  nlohmann::json& switches() { return switches_; }
+  nlohmann::json& control_values() { return control_values_; }
 
   static void Reply(SoupServerMessage* message,
                     int status,
@@ -57,15 +58,15 @@
   static std::string Method(SoupServerMessage* message);
 
   //! Closes the caller's connection without an answer.
-  static void Cut(SoupServerMessage* message);
+  static void CutConnection(SoupServerMessage* message);
 
-  //! Calls `action` once after `ms`, unless this server is gone.
+  //! Calls `action` once after `ms`, unless this server has been destroyed.
   void After(int64_t ms, std::function<void()> action);
 
  private:
   SoupServer* server_ = nullptr;
   int port_ = 0;
-  nlohmann::json switches_ = nlohmann::json::object();
+  nlohmann::json control_values_ = nlohmann::json::object();
   std::shared_ptr<bool> alive_;
 };
 
--- a/tests/support/stand_in_services.cpp
+++ b/tests/support/stand_in_services.cpp
@@ -12,24 +12,24 @@
                                const std::string& path,
                                const Query&) {
   if (path == "/ran") {
-    Reply(message, 200, json(ran_));
+    Reply(message, 200, json(run_counts_));
     return;
   }
   if (path == "/health") {
     Reply(message, 200,
           json{{"boot_id", "records"},
-               {"leaving", Switch("leaving", false)},
+               {"leaving", ControlValue("leaving", false)},
                {"load", 0},
                {"loaded", json::array()}});
     return;
   }
-  if (Switch("refuse", false)) {
+  if (ControlValue("refuse", false)) {
     soup_message_headers_replace(
         soup_server_message_get_response_headers(message), "X-Not-Run", "1");
     Reply(message, 503, json{{"error", "refused"}});
     return;
   }
-  const int64_t delay = Switch("delay_ms", int64_t{0});
+  const int64_t delay = ControlValue("delay_ms", int64_t{0});
   if (delay == 0) {
     Serve(message, path);
     return;
@@ -46,44 +46,47 @@
 void StandInRecords::Serve(SoupServerMessage* message,
                            const std::string& path) {
   const std::string id = Header(message, "X-Request-Id");
-  const int n = ++ran_[id];
-  const int64_t cut = Switch("cut_after_run", int64_t{0});
-  if (cut > 0) {
-    switches()["cut_after_run"] = cut - 1;
-    Cut(message);
+  const int run_count = ++run_counts_[id];
+  const int64_t cuts_left = ControlValue("cut_after_run", int64_t{0});
+  if (cuts_left > 0) {
+    control_values()["cut_after_run"] = cuts_left - 1;
+    CutConnection(message);
     return;
   }
-  Reply(message, 200, json{{"path", path}, {"request", id}, {"receipt", n}});
+  Reply(message, 200,
+        json{{"path", path}, {"request", id}, {"receipt", run_count}});
 }
 
 void StandInList::OnRequest(SoupServerMessage* message,
                             const std::string&,
                             const Query&) {
-  if (Switch("outage", false)) {
+  if (ControlValue("outage", false)) {
     Reply(message, 503, json{{"error", "outage"}});
     return;
   }
-  Reply(message, 200, json{{"instances", shown_}});
+  Reply(message, 200, json{{"instances", visible_instances_}});
 }
 
 void StandInList::OnControl() {
-  After(Switch("lag_ms", int64_t{0}),
-        [this] { shown_ = Switch("instances", json::array()); });
+  After(ControlValue("lag_ms", int64_t{0}), [this] {
+    visible_instances_ = ControlValue("instances", json::array());
+  });
 }
 
 void StandInWeights::OnRequest(SoupServerMessage* message,
                                const std::string&,
                                const Query&) {
-  const int64_t minute = MonotonicNow().count() / kMinute.count();
-  if (minute != minute_) {
-    minute_ = minute;
-    in_minute_ = 0;
+  const int64_t current_minute = MonotonicNow().count() / kMinute.count();
+  if (current_minute != current_minute_) {
+    current_minute_ = current_minute;
+    reads_in_minute_ = 0;
   }
-  if (++in_minute_ > Switch("per_minute", int64_t{600})) {
+  if (++reads_in_minute_ > ControlValue("per_minute", int64_t{600})) {
     Reply(message, 429, json{{"error", "too many reads"}});
     return;
   }
-  Reply(message, 200, json{{"weights", Switch("weights", json::array())}});
+  Reply(message, 200,
+        json{{"weights", ControlValue("weights", json::array())}});
 }
 
 }  // namespace tamaracktrail
--- a/tests/support/stand_in_services.h
+++ b/tests/support/stand_in_services.h
@@ -10,13 +10,13 @@
 
 namespace tamaracktrail {
 
-//! A records service whose calls may not be repeated. It counts what really
-//! ran, by request id, and shows the counts at /ran. Switches: "delay_ms",
-//! "cut_after_run" (number of further calls that run unanswered), "refuse",
+//! A records service whose calls must not be repeated. It counts the runs of
+//! each request id and returns the counts at /ran. Control keys: "delay_ms",
+//! "cut_after_run" (number of next calls that run and get no answer), "refuse",
 //! "leaving".
 class StandInRecords : public StandInServer {
  public:
-  const std::map<std::string, int>& ran() const { return ran_; }
+  const std::map<std::string, int>& run_counts() const { return run_counts_; }
 
  private:
   void OnRequest(SoupServerMessage* message,
@@ -24,11 +24,11 @@
                  const Query& query) override;
   void Serve(SoupServerMessage* message, const std::string& path);
 
-  std::map<std::string, int> ran_;
+  std::map<std::string, int> run_counts_;
 };
 
-//! The platform's list of instances. It shows changes only after "lag_ms".
-//! Switches: "instances" (array), "outage", "lag_ms".
+//! The platform's list of instances. Changes become visible after "lag_ms".
+//! Control keys: "instances" (array), "outage", "lag_ms".
 class StandInList : public StandInServer {
  private:
   void OnRequest(SoupServerMessage* message,
@@ -36,19 +36,19 @@
                  const Query& query) override;
   void OnControl() override;
 
-  nlohmann::json shown_ = nlohmann::json::array();
+  nlohmann::json visible_instances_ = nlohmann::json::array();
 };
 
-//! The platform's weight store with its rate limit. Switches: "weights"
-//! (array), "per_minute".
+//! The platform's weight store with its rate limit. Control keys: "weights"
+//! (array), "per_minute" (reads).
 class StandInWeights : public StandInServer {
  private:
   void OnRequest(SoupServerMessage* message,
                  const std::string& path,
                  const Query& query) override;
 
-  int64_t minute_ = 0;
-  int64_t in_minute_ = 0;
+  int64_t current_minute_ = 0;
+  int64_t reads_in_minute_ = 0;
 };
 
 }  // namespace tamaracktrail
