--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -5,7 +5,7 @@
 #include <glog/logging.h>
 
 int main(int argc, char** argv) {
-  // Property tests draw the same cases in every run.
+  // A fixed seed, so that property tests check the same cases in every run.
   setenv("RC_PARAMS", "seed=20261204 max_success=200", 1);
   FLAGS_logtostderr = true;
   FLAGS_minloglevel = google::GLOG_ERROR;
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -10,9 +10,9 @@
 #include "absl/flags/parse.h"
 #include "soak/fleet_run.h"
 
-ABSL_FLAG(int, seconds, 0, "Go on with further seeds for this time.");
+ABSL_FLAG(int, seconds, 0, "Run further seeds for this many seconds.");
 ABSL_FLAG(uint64_t, seed, 1, "First seed.");
-ABSL_FLAG(std::string, key, "", "Show what the log says of this request key.");
+ABSL_FLAG(std::string, key, "", "Print the log records of this request key.");
 
 namespace {
 
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-//! Runs seeds until the time is over, at least one. Prints each seed, then the
-//! sums. Exit code 1 on a violation.
+//! Runs consecutive seeds until the time is up, at least one. Prints the result
+//! of each seed, then the totals. Exit code 1 on a violation.
 int main(int argc, char** argv) {
   FLAGS_logtostderr = true;
   FLAGS_minloglevel = google::GLOG_WARNING;
@@ -46,7 +46,7 @@
   uint64_t seed = first;
   int violations = 0;
   do {
-    // Printed first: a broken invariant stops the process.
+    // Printed before the run: a violated invariant aborts the process.
     std::cout << "seed=" << seed << std::flush;
     std::vector<std::string> lines;
     const tamaracktrail::FleetRunReport it =
--- a/tests/soak/process_main.cpp
+++ b/tests/soak/process_main.cpp
@@ -13,12 +13,16 @@
 
 ABSL_FLAG(std::string, binary, "build/tamaracktrail", "Program under test.");
 ABSL_FLAG(uint64_t, seed, 1, "First seed.");
-ABSL_FLAG(int, runs, 1, "Seeds to run, one after another.");
-ABSL_FLAG(int, seconds, 10, "Length of the faults of a run.");
-ABSL_FLAG(int, instances, 4, "Processes under test.");
-ABSL_FLAG(std::string, logs, "", "Folder for settings and logs; kept.");
+ABSL_FLAG(int, runs, 1, "Number of consecutive seeds to run.");
+ABSL_FLAG(int, seconds, 10, "Seconds during which a run injects faults.");
+ABSL_FLAG(int, instances, 4, "Number of instances under test.");
+ABSL_FLAG(std::string,
+          logs,
+          "",
+          "Folder for settings and logs; not deleted after a run.");
 
-//! Runs seeds and prints what came of each. Exit code 1 on a violation.
+//! Runs consecutive seeds and prints the result of each. Exit code 1 on a
+//! violation.
 int main(int argc, char** argv) {
   FLAGS_logtostderr = true;
   FLAGS_minloglevel = google::GLOG_WARNING;
