--- a/bench/budget_study.cpp
+++ b/bench/budget_study.cpp
@@ -5,7 +5,7 @@
 
 #include <glog/logging.h>
 
-#include "bench/keeper_lab.h"
+#include "bench/keeper_harness.h"
 #include "coordination/draw_each_policy.h"
 #include "coordination/escrow_policy.h"
 #include "coordination/static_split_policy.h"
--- a/bench/keeper_lab.h
+++ b/bench/keeper_harness.h
@@ -1,5 +1,5 @@
-#ifndef BENCH_KEEPER_LAB_H_
-#define BENCH_KEEPER_LAB_H_
+#ifndef BENCH_KEEPER_HARNESS_H_
+#define BENCH_KEEPER_HARNESS_H_
 
 #include <algorithm>
 #include <array>
@@ -180,12 +180,12 @@
       it.unsent.push_back(std::move(record));
     }
     outbox.records.clear();
-    for (const Outbox::Letter& letter : outbox.letters) {
+    for (const Outbox::Message& letter : outbox.messages) {
       if (const auto* reply = std::get_if<ReserveReply>(&letter.message)) {
         OnReply(i, *reply);
       }
     }
-    outbox.letters.clear();
+    outbox.messages.clear();
   }
 
   void ScheduleCall(int i) {
@@ -280,4 +280,4 @@
 
 }  // namespace tamaracktrail
 
-#endif  // BENCH_KEEPER_LAB_H_
+#endif  // BENCH_KEEPER_HARNESS_H_
--- a/bench/routing_study.cpp
+++ b/bench/routing_study.cpp
@@ -60,7 +60,7 @@
       tables_.push_back(
           std::make_unique<EndpointTable>("dc", MakeOptions(full_load)));
       tables_.back()->SetSpecs(specs);
-      tables_.back()->SetSharers(sharers);
+      tables_.back()->SetInstanceCount(sharers);
       queues_.emplace_back(AdmissionQueue::Options{});
     }
     // Arrivals at load 1 fill all engines when half of the prompts hit.
@@ -161,12 +161,12 @@
   }
 
   void PumpEntry(size_t entry) {
-    while (tables_[entry]->Room(events_.now(), "s") > 0) {
+    while (tables_[entry]->FreeSlots(events_.now(), "s") > 0) {
       const auto item = queues_[entry].Pop(events_.now(), "s");
       if (!item.has_value()) {
         return;
       }
-      Dispatch(entry, static_cast<int>(item->tokens), item->since);
+      Dispatch(entry, static_cast<int>(item->tokens), item->enqueued_at);
     }
   }
 
--- a/bench/scale_study.cpp
+++ b/bench/scale_study.cpp
@@ -165,7 +165,7 @@
     it.from = {"10.0.0.12:7000", 123456789};
     it.data_centre = "region-1-dc-3";
     for (int i = 0; i < n; ++i) {
-      it.endpoints.push_back(
+      it.probe_reports.push_back(
           {"engine-" + std::to_string(100 + i), Millis(200), 1, 5});
     }
     bytes.emplace_back(n, codec.Encode(it).size());
--- a/src/cli/audit.cpp
+++ b/src/cli/audit.cpp
@@ -96,14 +96,14 @@
     ++report.streams;
     absl::Status status = ForEachEntry(path, [&](const LogEntry& entry) {
       CheckEntry(entry, report);
-      const uint64_t dropped_before = view_.dropped();
+      const uint64_t dropped_before = view_.dropped_batches();
       for (const AppliedBatch& it : view_.Feed(entry)) {
         ++report.batches;
         report.records += it.batch.records.size();
         CountCharges(it, report);
         on_batch(it);
       }
-      if (view_.dropped() > dropped_before) {
+      if (view_.dropped_batches() > dropped_before) {
         AddFault(
             entry,
             "was dropped: wrong HMAC, malformed, or not next in its writer's "
@@ -112,7 +112,7 @@
       }
       return absl::OkStatus();
     });
-    report.repeated_batches += view_.repeats();
+    report.repeated_batches += view_.repeated_batches();
     if (status.ok() && !view_.live()) {
       report.faults.push_back(absl::StrCat(
           name_, ": entries are missing and no snapshot replaces them"));
--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -75,7 +75,7 @@
     std::this_thread::sleep_for(kPollInterval);
   }
   const size_t aborted_calls = parts_->entry.OpenCalls();
-  const bool exited = parts_->coordination.DrainAndLeave(deadline);
+  const bool exited = parts_->coordination.DrainAndRecordExit(deadline);
   parts_->entry.Stop();
   parts_->coordination.Stop();
   LOG(INFO) << "event=shutdown_ended cut=" << aborted_calls
--- a/src/cli/log_session.h
+++ b/src/cli/log_session.h
@@ -77,7 +77,7 @@
                                                  Record record,
                                                  Millis deadline) {
     const uint64_t writer = NewWriter();
-    LogWriter log_writer(writer, &codec_, LogWriter::Policy{});
+    LogWriter log_writer(writer, &codec_, LogWriter::Options{});
     log_writer.Add(std::move(record));
     while (MonotonicNow() < deadline) {
       const Millis now = MonotonicNow();
--- a/src/cli/record_text.cpp
+++ b/src/cli/record_text.cpp
@@ -32,7 +32,7 @@
   return absl::StrCat("return organisation=", it.organisation,
                       " holder=", Hex(it.holder), " tokens=", it.tokens);
 }
-std::string Text(const Want& it) {
+std::string Text(const ShareRequest& it) {
   return absl::StrCat("want organisation=", it.organisation,
                       " holder=", Hex(it.holder), " tokens=", it.tokens);
 }
@@ -45,7 +45,7 @@
                       " holder=", Hex(it.holder),
                       " config=", it.config_version);
 }
-std::string Text(const Claim& it) {
+std::string Text(const RunClaim& it) {
   return absl::StrCat("claim organisation=", it.organisation, " key=", it.key,
                       " service=", it.service, " attempt=", Hex(it.attempt),
                       " entry=", Hex(it.entry));
@@ -121,9 +121,9 @@
   return absl::StrCat("fence holder=", Hex(it.holder),
                       " entry=", Hex(it.entry));
 }
-std::string Text(const Acquit& it) {
+std::string Text(const TrialEnd& it) {
   return absl::StrCat("acquit content=", it.content,
-                      " attempt=", Hex(it.attempt), " well=", it.well);
+                      " attempt=", Hex(it.attempt), " well=", it.succeeded);
 }
 
 }  // namespace
--- a/src/cli/relay_settings.cpp
+++ b/src/cli/relay_settings.cpp
@@ -61,7 +61,7 @@
       "limits", "grace_ms", kDefaultGraceMs, kMinGraceMs, kMaxGraceMs));
   settings.retry_ratio = ini.Number("retries", "ratio", 0.2, 0, 1);
   settings.retry_extra = ini.Number("retries", "extra", 0, 0, kMaxRetryExtra);
-  ini.CheckNoOthers();
+  ini.RejectUnknownKeys();
   return settings;
 }
 
--- a/src/cli/settings.cpp
+++ b/src/cli/settings.cpp
@@ -105,7 +105,7 @@
                       "a file with at least 16 bytes");
     }
   }
-  reader.CheckNoOthers();
+  reader.RejectUnknownKeys();
   return out;
 }
 
@@ -147,7 +147,7 @@
   ledger.key_window = Duration("fleet", "key_window_ms");
   ledger.hold = Number("budget", "hold");
   ledger.cover = Duration("budget", "cover_ms");
-  ledger.writer.interval = Duration("log", "append_interval_ms");
+  ledger.writer.min_batch_interval = Duration("log", "append_interval_ms");
   ledger.snapshot_records =
       static_cast<uint64_t>(Number("log", "snapshot_records"));
   ledger.keeper.reserve_wait = Duration("budget", "reserve_wait_ms");
@@ -175,7 +175,7 @@
   limits.queue_length = count("queue_length");
   limits.queue_per_organisation = count("queue_per_organisation");
   limits.stream_buffer_bytes = count("stream_buffer_bytes");
-  limits.slow_reader = Duration("limits", "slow_reader_ms");
+  limits.slow_reader_timeout = Duration("limits", "slow_reader_ms");
   limits.idle_timeout = Duration("limits", "endpoint_idle_ms");
   limits.retry_ratio = Number("limits", "retry_ratio");
   // An entry waits 2.5 s longer than its keeper may take to answer.
--- a/src/coordination/admission_queue.cpp
+++ b/src/coordination/admission_queue.cpp
@@ -81,12 +81,12 @@
   }
   const double time_a = accounts_.at(a.organisation).virtual_time;
   const double time_b = accounts_.at(b.organisation).virtual_time;
-  return time_a != time_b ? time_a < time_b : a.since < b.since;
+  return time_a != time_b ? time_a < time_b : a.enqueued_at < b.enqueued_at;
 }
 
 int AdmissionQueue::EffectivePriority(Millis now, const Item& item) const {
   const int64_t priority_gain =
-      (now - item.since).count() / options_.aging.count();
+      (now - item.enqueued_at).count() / options_.aging.count();
   return item.priority - static_cast<int>(priority_gain);
 }
 
--- a/src/coordination/admission_queue.h
+++ b/src/coordination/admission_queue.h
@@ -32,7 +32,7 @@
     std::string organisation;
     int priority = 5;  //!< 0 is the highest.
     int64_t tokens = 0;
-    Millis since;
+    Millis enqueued_at;
     Millis deadline;
   };
 
--- a/src/coordination/attempt_outcome.h
+++ b/src/coordination/attempt_outcome.h
@@ -11,7 +11,7 @@
   kMisdirected,  //!< Another endpoint has the address; it did not run it.
   kFailed,       //!< The endpoint answered with an error; the request ran.
   kBroken,       //!< Connection lost or protocol violated; it may have run.
-  kSilent,       //!< No answer began within the timeout; it may have run.
+  kTimedOut,     //!< No answer began within the timeout; it may have run.
 };
 
 }  // namespace tamaracktrail
--- a/src/coordination/attempt_rules.cpp
+++ b/src/coordination/attempt_rules.cpp
@@ -36,8 +36,9 @@
   // A request that has reached no endpoint adds no load to the service, so
   // sending it needs no retry budget.
   const bool is_unsent = progress.sends == 0;
-  return progress.endpoint_left && progress.remaining >= kMinAttemptTime &&
-         progress.dials < kMaxConnectionAttempts &&
+  return progress.has_untried_endpoint &&
+         progress.remaining >= kMinAttemptTime &&
+         progress.connection_attempts < kMaxConnectionAttempts &&
          progress.sends < progress.max_attempts &&
          (is_unsent || progress.retry_allowed);
 }
@@ -56,7 +57,7 @@
   if (progress.head_sent) {
     const bool may_resume = progress.kind == CallKind::kStream &&
                             progress.resumable && MayRetry(progress, outcome);
-    return may_resume ? NextStep::kResume : NextStep::kBreakOff;
+    return may_resume ? NextStep::kResume : NextStep::kAbort;
   }
   if (MayRetry(progress, outcome)) {
     return NextStep::kTryAnother;
@@ -67,8 +68,8 @@
   if (!progress.may_have_run && CertainlyNotRun(outcome)) {
     return NextStep::kRefuse;
   }
-  return outcome == AttemptOutcome::kSilent ? NextStep::kTimeOut
-                                            : NextStep::kBadGateway;
+  return outcome == AttemptOutcome::kTimedOut ? NextStep::kTimeOut
+                                              : NextStep::kBadGateway;
 }
 
 NextStep StepAtTimeout(const RequestProgress& progress, bool attempt_open) {
@@ -76,7 +77,7 @@
     return NextStep::kDrop;
   }
   if (progress.head_sent) {
-    return NextStep::kBreakOff;
+    return NextStep::kAbort;
   }
   if (!attempt_open && !progress.may_have_run) {
     return NextStep::kRefuse;
--- a/src/coordination/budget_shares.cpp
+++ b/src/coordination/budget_shares.cpp
@@ -244,7 +244,7 @@
   if (Available(now, account) < tokens) {
     account.largest_refused = std::max(account.largest_refused, tokens);
     account.refused_at = now;
-    return Verdict::kShort;
+    return Verdict::kInsufficient;
   }
   if (account.first_reservation_at == Millis(0)) {
     account.first_reservation_at = now;
@@ -508,20 +508,21 @@
   });
 }
 
-BudgetShares::View BudgetShares::Look(Millis now,
-                                      const std::string& organisation) const {
+BudgetShares::View BudgetShares::GetView(
+    Millis now,
+    const std::string& organisation) const {
   View view;
   const auto it = accounts_.find(organisation);
   if (it != accounts_.end() && it->second.prepaid) {
     view.available = Available(now, it->second);
     view.held = it->second.granted - it->second.in_use();
-    view.undrawn = it->second.unclaimed();
+    view.unclaimed = it->second.unclaimed();
     view.log_age = now - synced_at_;
   }
   return view;
 }
 
-int64_t BudgetShares::Claimed(const std::string& organisation) const {
+int64_t BudgetShares::TotalClaimed(const std::string& organisation) const {
   const auto it = accounts_.find(organisation);
   if (it == accounts_.end()) {
     return 0;
--- a/src/coordination/budget_shares.h
+++ b/src/coordination/budget_shares.h
@@ -9,10 +9,10 @@
 
 #include "coordination/claim_batch.h"
 #include "coordination/rate_meter.h"
-#include "state/budget_beat.h"
 #include "state/budget_claim.h"
 #include "state/millis.h"
 #include "state/organisation.h"
+#include "state/share_lock.h"
 
 namespace tamaracktrail {
 
@@ -35,8 +35,8 @@
  public:
   enum class Verdict {
     kGranted,
-    kUnlimited,  //!< The organisation has no budget; nothing is reserved.
-    kShort,      //!< The share is insufficient; a larger one is requested.
+    kUnlimited,     //!< The organisation has no budget; nothing is reserved.
+    kInsufficient,  //!< The share is insufficient; a larger one is requested.
   };
 
   struct Identity {
@@ -51,7 +51,7 @@
     int64_t held = 0;       //!< Granted and not in use, even if locked.
     //! Claimed by no instance, according to the records applied so far.
     //! Negative while the claims exceed the budget.
-    int64_t undrawn = 0;
+    int64_t unclaimed = 0;
     Millis log_age;  //!< Time since the log was last read up to its end.
   };
 
@@ -59,7 +59,7 @@
 
   //! Records that at `now` (time since boot) no predecessor of this name runs
   //! any more. Precondition: no record was applied.
-  void SetAlone(Millis now) { predecessor_gone_at_ = now; }
+  void SetPredecessorGoneAt(Millis now) { predecessor_gone_at_ = now; }
 
   //! Applies the budgets of a new configuration. Where a total was lowered, the
   //! instance gives up its share, except for what it has spent or reserved.
@@ -124,9 +124,9 @@
 
   //! Returns the state of an organisation's share; all values are 0 for an
   //! organisation without a budget.
-  View Look(Millis now, const std::string& organisation) const;
+  View GetView(Millis now, const std::string& organisation) const;
   //! Returns the sum of all known claims on an organisation's budget.
-  int64_t Claimed(const std::string& organisation) const;
+  int64_t TotalClaimed(const std::string& organisation) const;
 
  private:
   struct Account {
--- a/src/coordination/catalog.cpp
+++ b/src/coordination/catalog.cpp
@@ -39,7 +39,7 @@
       }
       ReadSection(reader, section, kind, name);
     }
-    reader.CheckNoOthers();
+    reader.RejectUnknownKeys();
   }
 
   Catalog Finish() {
--- a/src/coordination/charge_custody.cpp
+++ b/src/coordination/charge_custody.cpp
@@ -60,7 +60,7 @@
   const Void record{charge.organisation, charge.key, charge.attempt};
   outbox.Append(record);
   for (const uint64_t peer : peers) {
-    outbox.Send(peer, RecordsNote{charge.organisation, {record}});
+    outbox.Send(peer, RecordsToAppend{charge.organisation, {record}});
   }
 }
 
@@ -153,11 +153,12 @@
   outbox.Append(charge);
 }
 
-std::vector<ChargeCustody::Settled> ChargeCustody::TakeSettled() {
+std::vector<ChargeCustody::SettleResult> ChargeCustody::TakeSettleResults() {
   return std::exchange(settled_, {});
 }
 
-std::vector<KeptShare> ChargeCustody::HeldFor(uint64_t holder) const {
+std::vector<KeptShare> ChargeCustody::UnconfirmedUnderShareOf(
+    uint64_t holder) const {
   std::vector<KeptShare> kept;
   for (const auto& [attempt, held] : held_) {
     const Charge& charge = held.request.charge;
@@ -169,7 +170,7 @@
   return kept;
 }
 
-std::vector<SettleRequest> ChargeCustody::ChargesOf(uint64_t entry) const {
+std::vector<SettleRequest> ChargeCustody::ChargesOfEntry(uint64_t entry) const {
   std::vector<SettleRequest> charges;
   for (const auto& [attempt, held] : held_) {
     if (held.request.charge.entry == entry) {
--- a/src/coordination/charge_custody.h
+++ b/src/coordination/charge_custody.h
@@ -40,7 +40,7 @@
   enum class Safety { kSafe, kNotSafe };
 
   //! Whether one of this instance's own charges became safe.
-  struct Settled {
+  struct SettleResult {
     uint64_t attempt = 0;
     Safety safety = Safety::kNotSafe;
   };
@@ -80,15 +80,15 @@
 
   //! Returns the own charges that became safe, or timed out, since the last
   //! call. This class appends a Void record for each one that timed out.
-  std::vector<Settled> TakeSettled();
+  std::vector<SettleResult> TakeSettleResults();
 
   //! Returns the unconfirmed charges under the share of `holder`: own ones with
   //! the reserved tokens, those of peers with the charged tokens.
-  std::vector<KeptShare> HeldFor(uint64_t holder) const;
+  std::vector<KeptShare> UnconfirmedUnderShareOf(uint64_t holder) const;
 
   //! Returns the held charges of an exited entry, so that their holders learn
   //! of them before they free its reservations.
-  std::vector<SettleRequest> ChargesOf(uint64_t entry) const;
+  std::vector<SettleRequest> ChargesOfEntry(uint64_t entry) const;
 
   bool Holds(uint64_t attempt) const { return held_.contains(attempt); }
   size_t size() const { return held_.size(); }
@@ -116,7 +116,7 @@
   uint64_t self_;
   Options options_;
   std::map<uint64_t, HeldCharge> held_;  //!< By attempt.
-  std::vector<Settled> settled_;
+  std::vector<SettleResult> settled_;
 };
 
 }  // namespace tamaracktrail
--- a/src/coordination/claim_batch.h
+++ b/src/coordination/claim_batch.h
@@ -4,8 +4,8 @@
 #include <optional>
 #include <vector>
 
-#include "state/budget_beat.h"
 #include "state/budget_claim.h"
+#include "state/share_lock.h"
 
 namespace tamaracktrail {
 
--- a/src/coordination/content_guard.cpp
+++ b/src/coordination/content_guard.cpp
@@ -51,7 +51,7 @@
   if (succeeded) {
     reported_crashes_.erase(content);
   }
-  outbox.Append(Acquit{content, attempt, succeeded});
+  outbox.Append(TrialEnd{content, attempt, succeeded});
 }
 
 void ContentGuard::OnTick(Millis now, Outbox& outbox) {
--- a/src/coordination/coordinator.cpp
+++ b/src/coordination/coordinator.cpp
@@ -53,7 +53,7 @@
   for (const auto& shard : shards_) {
     streams.push_back(shard->stream());
   }
-  keepers_ = RendezvousSpread(streams, candidates_);
+  keepers_ = RendezvousAssign(streams, candidates_);
   if (keepers_.empty()) {
     keepers_.assign(shards_.size(), self_.incarnation);
   }
@@ -83,8 +83,8 @@
 
 void Coordinator::DeliverLocalMessages(Millis now, Millis wall) {
   while (!local_messages_.empty()) {
-    std::vector<Outbox::Letter> local = std::exchange(local_messages_, {});
-    for (const Outbox::Letter& it : local) {
+    std::vector<Outbox::Message> local = std::exchange(local_messages_, {});
+    for (const Outbox::Message& it : local) {
       std::visit(
           [&](const auto& message) {
             Handle(now, wall, self_.incarnation, message);
@@ -97,11 +97,11 @@
 
 void Coordinator::DispatchShardOutbox(LedgerShard& shard, Outbox& outbox) {
   shard.AppendRecords(outbox);
-  for (Outbox::Letter& it : outbox.letters) {
+  for (Outbox::Message& it : outbox.messages) {
     const bool own = it.to == self_.incarnation;
     (own ? local_messages_ : outgoing_messages_).push_back(std::move(it));
   }
-  outbox.letters.clear();
+  outbox.messages.clear();
 }
 
 void Coordinator::Handle(Millis now, Millis, uint64_t, const Heartbeat& it) {
@@ -114,16 +114,16 @@
                    "its address answers as another incarnation");
   }
   const Membership::Peer* peer = membership_.ByIncarnation(it.from.incarnation);
-  if (peer == nullptr || !Membership::LocalTime(*peer, it.sent_at)) {
+  if (peer == nullptr || !Membership::EarliestLocalTime(*peer, it.sent_at)) {
     return;
   }
-  NewsNotice reports;
-  for (const EndpointNews& item : it.endpoints) {
+  ProbeReportNotice reports;
+  for (const ProbeReport& item : it.probe_reports) {
     EndpointObservation seen;
     seen.endpoint = item.endpoint;
     seen.health = static_cast<EndpointHealth>(item.health);
     seen.load = item.load;
-    seen.as_of = *Membership::LocalTime(*peer, it.sent_at) - item.age;
+    seen.as_of = *Membership::EarliestLocalTime(*peer, it.sent_at) - item.age;
     reports.observations.push_back(std::move(seen));
   }
   if (!reports.observations.empty()) {
@@ -194,9 +194,9 @@
   DispatchShardOutbox(shard, outbox);
 }
 
-void Coordinator::Handle(Millis, Millis, uint64_t, const RecordsNote& it) {
+void Coordinator::Handle(Millis, Millis, uint64_t, const RecordsToAppend& it) {
   for (const Record& record : it.records) {
-    Note(it.organisation, record);
+    AppendRecord(it.organisation, record);
   }
 }
 
@@ -211,7 +211,7 @@
   Outbox outbox;
   outbox.Send(
       from, OrphanReport{it.holder, self_.incarnation, OwnKeptShares(it.holder),
-                         custody_.ChargesOf(it.holder)});
+                         custody_.ChargesOfEntry(it.holder)});
   DispatchLedgerOutbox(outbox);
 }
 
@@ -413,7 +413,7 @@
   DispatchLedgerOutbox(outbox);
 }
 
-void Coordinator::Note(const std::string& organisation, Record record) {
+void Coordinator::AppendRecord(const std::string& organisation, Record record) {
   shards_[ShardOf(organisation)]->writer().Add(std::move(record));
 }
 
@@ -432,11 +432,11 @@
         record);
   }
   outbox.records.clear();
-  for (Outbox::Letter& it : outbox.letters) {
+  for (Outbox::Message& it : outbox.messages) {
     const bool own = it.to == self_.incarnation;
     (own ? local_messages_ : outgoing_messages_).push_back(std::move(it));
   }
-  outbox.letters.clear();
+  outbox.messages.clear();
 }
 
 // Content that crashes endpoints.
@@ -470,7 +470,7 @@
   for (Record& it : outbox.records) {
     control_writer_.Add(std::move(it));
   }
-  for (Outbox::Letter& it : outbox.letters) {
+  for (Outbox::Message& it : outbox.messages) {
     outgoing_messages_.push_back(std::move(it));
   }
   for (const ContentVerdict& it : content_guard_.TakeVerdicts()) {
@@ -480,13 +480,13 @@
 
 // Output.
 
-std::vector<Outbox::Letter> Coordinator::TakeLetters() {
+std::vector<Outbox::Message> Coordinator::TakeMessages() {
   return std::exchange(outgoing_messages_, {});
 }
 
-std::vector<Coordinator::AppendOrder> Coordinator::TakeAppends(Millis now,
-                                                               Millis wall) {
-  std::vector<AppendOrder> out;
+std::vector<Coordinator::StreamAppend> Coordinator::TakeAppends(Millis now,
+                                                                Millis wall) {
+  std::vector<StreamAppend> out;
   if (auto payload = control_writer_.NextAppend(now, wall)) {
     out.push_back({ControlStreamName(), *std::move(payload)});
   }
@@ -509,20 +509,21 @@
 std::vector<std::pair<std::string, Heartbeat>> Coordinator::TakeHeartbeats(
     Millis now) {
   std::vector<std::pair<std::string, Heartbeat>> out;
-  for (const std::string& address : membership_.Due(now)) {
+  for (const std::string& address : membership_.TakeDueAddresses(now)) {
     Heartbeat heartbeat = membership_.MakeHeartbeat(
         now, address, config_version_, ExcludedFromRoles());
-    heartbeat.endpoints = own_probe_reports_;
+    heartbeat.probe_reports = own_probe_reports_;
     out.emplace_back(address, std::move(heartbeat));
   }
   return out;
 }
 
-std::map<std::string, uint64_t> Coordinator::Reads(Millis now) const {
+std::map<std::string, uint64_t> Coordinator::StreamsToRead(Millis now) const {
   std::map<std::string, uint64_t> reads;
   reads[ControlStreamName()] = control_.read_offset();
   for (const auto& shard : shards_) {
-    const bool shares = shard->view().fold().HeldBy(self_.incarnation) > 0;
+    const bool shares =
+        shard->view().fold().TokensHeldBy(self_.incarnation) > 0;
     if (shares || shard->NeedsRead(Serving(now, shard->number()))) {
       reads[shard->stream()] = shard->view().read_offset();
     }
@@ -563,10 +564,10 @@
     it.backlog = shard->writer().backlog();
     it.reservations = shard->keeper().reservation_count();
     it.reserved_tokens = shard->keeper().reserved();
-    it.dropped_batches = shard->view().dropped();
-    it.share_tokens = fold.HeldBy(self_.incarnation);
+    it.dropped_batches = shard->view().dropped_batches();
+    it.share_tokens = fold.TokensHeldBy(self_.incarnation);
     for (const auto& [incarnation, evidence] : exit_evidence_) {
-      out.stuck_tokens += fold.HeldBy(incarnation);
+      out.stuck_tokens += fold.TokensHeldBy(incarnation);
     }
     out.backlog += it.backlog;
     out.append_failures =
--- a/src/coordination/coordinator.h
+++ b/src/coordination/coordinator.h
@@ -41,11 +41,11 @@
     uint64_t control_snapshot_records = 2000;
     //! Startup wait: time from the first tick until the instance becomes ready,
     //! unless all known peers are heard from earlier.
-    Millis settle{1500};
+    Millis startup_wait{1500};
     //! Longest wait until a trial's record is read back from the log.
     Millis trial_read_back_timeout{3000};
     //! Time between exit sweeps of one holder that still has shares.
-    Millis resweep{60000};
+    Millis sweep_interval{60000};
     size_t probers_per_endpoint = 2;
     LedgerShard::Options ledger;
     Membership::Options membership;
@@ -55,7 +55,7 @@
 
   //! A payload to append to a stream. The caller reports the result with
   //! OnAppended.
-  struct AppendOrder {
+  struct StreamAppend {
     std::string stream;
     std::string payload;
   };
@@ -103,7 +103,7 @@
   //! Voids a charge whose answer was not delivered completely after all.
   void Withdraw(Millis now, const Charge& charge);
   //! Queues a record for the organisation's ledger shard.
-  void Note(const std::string& organisation, Record record);
+  void AppendRecord(const std::string& organisation, Record record);
   //! Asks whether an attempt may run its content; answered by a ContentVerdict.
   void CheckContent(Millis now, uint64_t attempt, const std::string& content);
   //! Records that the attempt's endpoint crashed, and asks whether the attempt
@@ -116,7 +116,7 @@
                         bool succeeded);
   //! Replaces the results of the entry's own probes, the endpoints' states and
   //! the copies that the load calls for, by placement.
-  void ReportEndpoints(std::vector<EndpointNews> reports,
+  void ReportEndpoints(std::vector<ProbeReport> reports,
                        std::vector<Placer::EndpointState> states,
                        std::map<std::string, int> demand);
 
@@ -139,24 +139,24 @@
 
   //! Queues the record of this instance's graceful exit. Call it once, when
   //! Drained(); then wait for Drained() again.
-  void Leave();
+  void QueueExit();
 
   // Output. The Take functions hand over each item once.
 
-  std::vector<Outbox::Letter> TakeLetters();
-  std::vector<AppendOrder> TakeAppends(Millis now, Millis wall);
+  std::vector<Outbox::Message> TakeMessages();
+  std::vector<StreamAppend> TakeAppends(Millis now, Millis wall);
   std::vector<EntryNotice> TakeNotices();
   //! Incarnations that have exited. The transport has to drop their connections
   //! together with any data not yet read from them.
   std::vector<uint64_t> TakeExited();
   //! Joined instances of the data centre that are not among the live peers, by
   //! address. The transport tries to connect to them to detect their exit.
-  std::map<std::string, uint64_t> Silent(Millis now) const;
+  std::map<std::string, uint64_t> UnresponsiveMembers(Millis now) const;
   //! Heartbeats that are due, with the address to send each to.
   std::vector<std::pair<std::string, Heartbeat>> TakeHeartbeats(Millis now);
 
   //! Streams to read now, each with the offset to read from.
-  std::map<std::string, uint64_t> Reads(Millis now) const;
+  std::map<std::string, uint64_t> StreamsToRead(Millis now) const;
 
   //! Version of the configuration in force; never decreases.
   uint64_t config_version() const { return config_version_; }
@@ -207,7 +207,10 @@
               uint64_t from,
               const ChargeConfirmed& it);
   void Handle(Millis now, Millis wall, uint64_t from, const ReservationEnd& it);
-  void Handle(Millis now, Millis wall, uint64_t from, const RecordsNote& it);
+  void Handle(Millis now,
+              Millis wall,
+              uint64_t from,
+              const RecordsToAppend& it);
   void Handle(Millis now, Millis wall, uint64_t from, const OrphanQuery& it);
   void Handle(Millis now, Millis wall, uint64_t from, const OrphanReport& it);
   void Handle(Millis now, Millis wall, uint64_t from, const ConfigRequest& it);
@@ -275,7 +278,7 @@
   std::map<uint64_t, OpenReservation> reservations_;  //!< By attempt.
   std::vector<CustodyTicket> custody_tickets_;
   std::map<uint64_t, EndedAttempt> ended_attempts_;  //!< By attempt.
-  std::vector<EndpointNews> own_probe_reports_;
+  std::vector<ProbeReport> own_probe_reports_;
   std::vector<Placer::EndpointState> endpoint_states_;
   std::map<std::string, int> demand_;
   // Configuration version and role_changes_ at the last probe assignment.
@@ -297,8 +300,8 @@
   bool exit_queued_ = false;
   std::optional<Millis> started_at_;
   bool ready_ = false;
-  std::vector<Outbox::Letter> local_messages_;  //!< To this instance itself.
-  std::vector<Outbox::Letter> outgoing_messages_;
+  std::vector<Outbox::Message> local_messages_;  //!< To this instance itself.
+  std::vector<Outbox::Message> outgoing_messages_;
   std::vector<EntryNotice> notices_;
   std::vector<uint64_t> newly_exited_;
 };
--- a/src/coordination/coordinator_ticks.cpp
+++ b/src/coordination/coordinator_ticks.cpp
@@ -44,7 +44,7 @@
 }
 
 std::vector<KeptShare> Coordinator::OwnKeptShares(uint64_t holder) const {
-  std::vector<KeptShare> kept = custody_.HeldFor(holder);
+  std::vector<KeptShare> kept = custody_.UnconfirmedUnderShareOf(holder);
   for (const auto& [attempt, it] : reservations_) {
     if (it.holder == holder) {
       kept.push_back({it.organisation, attempt, it.tokens});
@@ -54,14 +54,16 @@
 }
 
 std::vector<uint64_t> Coordinator::SweepMembers() const {
-  std::vector<uint64_t> members = control_.fold().LiveIn(options_.data_centre);
+  std::vector<uint64_t> members =
+      control_.fold().LiveIncarnations(options_.data_centre);
   std::erase_if(members, [this](uint64_t it) {
     return it == self_.incarnation || exit_evidence_.contains(it);
   });
   return members;
 }
 
-std::map<std::string, uint64_t> Coordinator::Silent(Millis now) const {
+std::map<std::string, uint64_t> Coordinator::UnresponsiveMembers(
+    Millis now) const {
   std::map<std::string, uint64_t> unresponsive;
   const std::vector<uint64_t> live = membership_.LivePeers(now);
   for (const uint64_t it : SweepMembers()) {
@@ -103,7 +105,7 @@
   const auto& peers = membership_.peers();
   const bool all_peers_heard =
       !peers.empty() && membership_.CountHeardPeers(now) == peers.size();
-  if (all_peers_heard || now >= *started_at_ + options_.settle) {
+  if (all_peers_heard || now >= *started_at_ + options_.startup_wait) {
     ready_ = true;
     roles_updated_at_ = Millis(-1);
     notices_.push_back(CatalogNotice{catalog_});
@@ -145,7 +147,7 @@
 }
 
 void Coordinator::ReportSettledCharges() {
-  for (const ChargeCustody::Settled& it : custody_.TakeSettled()) {
+  for (const ChargeCustody::SettleResult& it : custody_.TakeSettleResults()) {
     const bool safe = it.safety == ChargeCustody::Safety::kSafe;
     notices_.push_back(SettledNotice{it.attempt, safe});
   }
@@ -160,7 +162,8 @@
   Outbox outbox;
   exit_sweep_.OnTick(now, members, outbox);
   DispatchLedgerOutbox(outbox);
-  for (ExitSweep::CompletedSweep& it : exit_sweep_.TakeComplete(members)) {
+  for (ExitSweep::CompletedSweep& it :
+       exit_sweep_.TakeCompletedSweeps(members)) {
     const OrphanReport own{
         it.exited, self_.incarnation, OwnKeptShares(it.exited), {}};
     std::map<uint64_t, KeptShare> kept;
@@ -206,14 +209,14 @@
   for (const auto& it : exit_evidence_) {
     const uint64_t incarnation = it.first;
     Millis& at = last_sweep_at_[incarnation];
-    if (now < at + options_.resweep) {
+    if (now < at + options_.sweep_interval) {
       continue;
     }
     at = now;
     const bool stranded =
         std::any_of(shards_.begin(), shards_.end(), [&](const auto& shard) {
           return Serving(now, shard->number()) &&
-                 shard->view().fold().HeldBy(incarnation) > 0;
+                 shard->view().fold().TokensHeldBy(incarnation) > 0;
         });
     if (stranded) {
       exit_sweep_.Start(incarnation);
@@ -292,11 +295,11 @@
   }
   assignment_config_version_ = config_version_;
   assignment_role_changes_ = role_changes_;
-  ProbeDuty assignment;
+  ProbeAssignment assignment;
   for (const auto& [name, spec] : catalog_->endpoints) {
     if (spec.data_centre == options_.data_centre &&
-        RendezvousAmong(name, candidates_, self_.incarnation,
-                        options_.probers_per_endpoint)) {
+        RendezvousIsAmongTop(name, candidates_, self_.incarnation,
+                             options_.probers_per_endpoint)) {
       assignment.endpoints.push_back(name);
     }
   }
@@ -304,7 +307,7 @@
   notices_.push_back(std::move(assignment));
 }
 
-void Coordinator::ReportEndpoints(std::vector<EndpointNews> reports,
+void Coordinator::ReportEndpoints(std::vector<ProbeReport> reports,
                                   std::vector<Placer::EndpointState> states,
                                   std::map<std::string, int> demand) {
   own_probe_reports_ = std::move(reports);
@@ -336,11 +339,11 @@
     return it->writer().backlog() == 0 &&
            it->keeper().reservation_count() == 0 &&
            it->keeper().pending_charge_count() == 0 &&
-           it->view().fold().HeldBy(self_.incarnation) == 0;
+           it->view().fold().TokensHeldBy(self_.incarnation) == 0;
   });
 }
 
-void Coordinator::Leave() {
+void Coordinator::QueueExit() {
   exit_queued_ = true;
   control_writer_.Add(Exit{self_.incarnation, "graceful shutdown"});
 }
--- a/src/coordination/crash_guard.cpp
+++ b/src/coordination/crash_guard.cpp
@@ -22,7 +22,9 @@
 
 }  // namespace
 
-void CrashGuard::OnBroken(Millis now, uint64_t content, uint64_t endpoint) {
+void CrashGuard::OnConnectionLost(Millis now,
+                                  uint64_t content,
+                                  uint64_t endpoint) {
   std::vector<LostConnection>& lost = lost_connections_[endpoint];
   const bool other_content_lost =
       std::any_of(lost.begin(), lost.end(), [&](const LostConnection& it) {
@@ -73,7 +75,7 @@
   return contents_.contains(content);
 }
 
-std::vector<CrashGuard::Crash> CrashGuard::Known(size_t n) const {
+std::vector<CrashGuard::Crash> CrashGuard::KnownCrashes(size_t n) const {
   std::vector<std::pair<Millis, uint64_t>> newest;
   for (const auto& [content, it] : contents_) {
     newest.emplace_back(it.last_crash, content);
--- a/src/coordination/crash_guard.h
+++ b/src/coordination/crash_guard.h
@@ -24,7 +24,7 @@
   using Crash = std::pair<uint64_t, uint64_t>;
 
   //! The connection of a request broke after it was sent to an endpoint.
-  void OnBroken(Millis now, uint64_t content, uint64_t endpoint);
+  void OnConnectionLost(Millis now, uint64_t content, uint64_t endpoint);
 
   //! A connection attempt to the endpoint failed, or an idle connection to it
   //! broke.
@@ -40,7 +40,7 @@
 
   //! Returns the known crashes, for the peers: at most `n`, newest content
   //! first.
-  std::vector<Crash> Known(size_t n) const;
+  std::vector<Crash> KnownCrashes(size_t n) const;
 
   //! Drops expired state.
   void OnTick(Millis now);
--- a/src/coordination/draw_each_policy.h
+++ b/src/coordination/draw_each_policy.h
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cstdint>
 
-#include "coordination/stock_view.h"
+#include "coordination/share_view.h"
 
 namespace tamaracktrail {
 
--- a/src/coordination/endpoint_health.h
+++ b/src/coordination/endpoint_health.h
@@ -9,7 +9,7 @@
 enum class EndpointHealth : int32_t {
   kUnknown = 0,
   kUp = 1,
-  kLeaving = 2,  //!< Finishes its requests, accepts no new ones.
+  kDraining = 2,  //!< Finishes its requests, accepts no new ones.
   kDown = 3,
 };
 
@@ -18,7 +18,7 @@
   switch (health) {
     case EndpointHealth::kUp:
       return "up";
-    case EndpointHealth::kLeaving:
+    case EndpointHealth::kDraining:
       return "leaving";
     case EndpointHealth::kDown:
       return "down";
--- a/src/coordination/endpoint_board.cpp
+++ b/src/coordination/endpoint_registry.cpp
@@ -1,4 +1,4 @@
-#include "coordination/endpoint_board.h"
+#include "coordination/endpoint_registry.h"
 
 #include <algorithm>
 #include <cmath>
@@ -53,20 +53,20 @@
   return state.failure_rate * std::exp(-age / kFailureDecayMs);
 }
 
-void EndpointBoard::Apply(Millis now, const EndpointEntry& entry) {
+void EndpointRegistry::Apply(Millis now, const EndpointEntry& entry) {
   const auto removed = removed_.find(entry.id);
   if (removed != removed_.end() &&
-      std::pair(entry.born, entry.sequence) <= removed->second) {
+      std::pair(entry.start_unix_ms, entry.sequence) <= removed->second) {
     return;
   }
   const auto it = endpoints_.find(entry.id);
   if (it != endpoints_.end()) {
     EndpointState& known = it->second;
-    if (std::pair(entry.born, entry.sequence) <
-        std::pair(known.entry.born, known.entry.sequence)) {
+    if (std::pair(entry.start_unix_ms, entry.sequence) <
+        std::pair(known.entry.start_unix_ms, known.entry.sequence)) {
       return;
     }
-    if (entry.born == known.entry.born) {
+    if (entry.start_unix_ms == known.entry.start_unix_ms) {
       // A draining endpoint does not become usable again as the same
       // incarnation.
       const bool draining = known.entry.draining || entry.draining;
@@ -79,18 +79,19 @@
   }
   EndpointState fresh;
   fresh.entry = entry;
-  fresh.hash = StableHash(absl::StrCat(entry.id, "/", entry.born));
+  fresh.incarnation_hash =
+      StableHash(absl::StrCat(entry.id, "/", entry.start_unix_ms));
   fresh.known_since = now;
-  by_hash_[fresh.hash] = entry.id;
+  by_hash_[fresh.incarnation_hash] = entry.id;
   endpoints_.emplace(entry.id, std::move(fresh));
 }
 
-bool EndpointBoard::ApplyCopy(Millis now, const EndpointEntry& entry) {
-  const EndpointState* known = Find(entry.id, entry.born);
+bool EndpointRegistry::ApplyFromPeer(Millis now, const EndpointEntry& entry) {
+  const EndpointState* known = Find(entry.id, entry.start_unix_ms);
   const auto removed = removed_.find(entry.id);
-  const bool missing =
-      (known != nullptr && known->missing_since > Millis(0)) ||
-      (removed != removed_.end() && entry.born <= removed->second.first);
+  const bool missing = (known != nullptr && known->missing_since > Millis(0)) ||
+                       (removed != removed_.end() &&
+                        entry.start_unix_ms <= removed->second.first);
   if (missing) {
     return false;
   }
@@ -98,9 +99,9 @@
   return true;
 }
 
-void EndpointBoard::Remove(Millis now,
-                           const std::string& id,
-                           bool store_in_doubt) {
+void EndpointRegistry::Remove(Millis now,
+                              const std::string& id,
+                              bool store_in_doubt) {
   const auto it = endpoints_.find(id);
   if (it == endpoints_.end()) {
     return;
@@ -117,13 +118,13 @@
   }
   // Entries written before the removal are read before it, so a newer entry
   // that is read afterwards means that the endpoint is back.
-  removed_[id] = {state.entry.born, state.entry.sequence};
+  removed_[id] = {state.entry.start_unix_ms, state.entry.sequence};
   Erase(id);
 }
 
-void EndpointBoard::KeepOnly(Millis now,
-                             const std::vector<std::string>& ids,
-                             bool store_in_doubt) {
+void EndpointRegistry::KeepOnly(Millis now,
+                                const std::vector<std::string>& ids,
+                                bool store_in_doubt) {
   const std::set<std::string> kept(ids.begin(), ids.end());
   std::vector<std::string> missing;
   for (const auto& [id, state] : endpoints_) {
@@ -136,20 +137,20 @@
   }
 }
 
-void EndpointBoard::Erase(const std::string& id) {
+void EndpointRegistry::Erase(const std::string& id) {
   const auto it = endpoints_.find(id);
-  by_hash_.erase(it->second.hash);
+  by_hash_.erase(it->second.incarnation_hash);
   endpoints_.erase(it);
 }
 
-std::vector<const EndpointState*> EndpointBoard::Usable(
+std::vector<const EndpointState*> EndpointRegistry::Usable(
     Millis now,
     const std::string& service) const {
   std::vector<const EndpointState*> usable;
   std::vector<const EndpointState*> suspended;
   for (const auto& [id, state] : endpoints_) {
     if (state.entry.service != service ||
-        !MayReceive(now, id, state.entry.born)) {
+        !MayReceive(now, id, state.entry.start_unix_ms)) {
       continue;
     }
     (now < state.suspended_until ? suspended : usable).push_back(&state);
@@ -157,45 +158,48 @@
   return usable.empty() ? suspended : usable;
 }
 
-const EndpointState* EndpointBoard::Find(const std::string& id,
-                                         int64_t born) const {
+const EndpointState* EndpointRegistry::Find(const std::string& id,
+                                            int64_t born) const {
   const auto it = endpoints_.find(id);
-  return it != endpoints_.end() && it->second.entry.born == born ? &it->second
-                                                                 : nullptr;
+  return it != endpoints_.end() && it->second.entry.start_unix_ms == born
+             ? &it->second
+             : nullptr;
 }
 
-const EndpointState* EndpointBoard::FindByHash(uint64_t hash) const {
+const EndpointState* EndpointRegistry::FindByHash(uint64_t hash) const {
   const auto it = by_hash_.find(hash);
   return it == by_hash_.end() ? nullptr : &endpoints_.at(it->second);
 }
 
-EndpointState* EndpointBoard::FindMutable(const std::string& id, int64_t born) {
+EndpointState* EndpointRegistry::FindMutable(const std::string& id,
+                                             int64_t born) {
   const auto it = endpoints_.find(id);
-  return it != endpoints_.end() && it->second.entry.born == born ? &it->second
-                                                                 : nullptr;
+  return it != endpoints_.end() && it->second.entry.start_unix_ms == born
+             ? &it->second
+             : nullptr;
 }
 
-bool EndpointBoard::MayReceive(Millis now,
-                               const std::string& id,
-                               int64_t born) const {
+bool EndpointRegistry::MayReceive(Millis now,
+                                  const std::string& id,
+                                  int64_t born) const {
   const EndpointState* state = Find(id, born);
   return state != nullptr && !state->entry.draining &&
          (state->missing_since == Millis(0) ||
           now - state->missing_since < kMissingGrace);
 }
 
-EndpointTicket EndpointBoard::OnSent(Millis now,
-                                     const EndpointState& chosen,
-                                     int64_t uncached_tokens,
-                                     Millis predicted) {
+EndpointTicket EndpointRegistry::OnSent(Millis now,
+                                        const EndpointState& chosen,
+                                        int64_t uncached_tokens,
+                                        Millis predicted) {
   EndpointTicket ticket;
   ticket.id = chosen.entry.id;
-  ticket.born = chosen.entry.born;
-  ticket.hash = chosen.hash;
+  ticket.start_unix_ms = chosen.entry.start_unix_ms;
+  ticket.incarnation_hash = chosen.incarnation_hash;
   ticket.uncached_tokens = uncached_tokens;
   ticket.sent_at = now;
   ticket.predicted = predicted;
-  if (EndpointState* state = FindMutable(ticket.id, ticket.born)) {
+  if (EndpointState* state = FindMutable(ticket.id, ticket.start_unix_ms)) {
     state->own_load.uncached_tokens += uncached_tokens;
     ++state->own_load.open;
     state->first_bytes_due_ms.insert((now + predicted).count());
@@ -203,13 +207,13 @@
   return ticket;
 }
 
-void EndpointBoard::OnFirstByte(Millis now, EndpointTicket* ticket) {
+void EndpointRegistry::OnFirstByte(Millis now, EndpointTicket* ticket) {
   if (ticket->answered) {
     return;
   }
   const int64_t uncached_tokens = std::exchange(ticket->uncached_tokens, 0);
   ticket->answered = true;
-  EndpointState* state = FindMutable(ticket->id, ticket->born);
+  EndpointState* state = FindMutable(ticket->id, ticket->start_unix_ms);
   if (state == nullptr) {
     return;
   }
@@ -227,23 +231,23 @@
                  kMinLatencyRatio, kMaxLatencyRatio);
 }
 
-void EndpointBoard::OnEnded(Millis now,
-                            EndpointTicket* ticket,
-                            EndpointOutcome outcome) {
+void EndpointRegistry::OnEnded(Millis now,
+                               EndpointTicket* ticket,
+                               EndpointOutcome outcome) {
   OnAbandoned(ticket);
-  EndpointState* state = FindMutable(ticket->id, ticket->born);
+  EndpointState* state = FindMutable(ticket->id, ticket->start_unix_ms);
   if (state == nullptr) {
     return;
   }
   const bool lost = outcome == EndpointOutcome::kLost ||
                     outcome == EndpointOutcome::kUnreachable ||
-                    outcome == EndpointOutcome::kGone;
+                    outcome == EndpointOutcome::kMisdirected;
   const bool bad = lost || outcome == EndpointOutcome::kFailed;
   state->failure_rate = DecayedFailureRate(now, *state) * (1 - kFailureWeight) +
                         (bad ? kFailureWeight : 0);
   state->failure_rate_at = now;
   state->consecutive_losses = lost ? state->consecutive_losses + 1 : 0;
-  const bool suspend = outcome == EndpointOutcome::kGone ||
+  const bool suspend = outcome == EndpointOutcome::kMisdirected ||
                        outcome == EndpointOutcome::kUnreachable ||
                        (lost && state->consecutive_losses >= kLossesToSuspend);
   if (suspend) {
@@ -251,13 +255,13 @@
     state->suspended_until =
         now +
         std::min(kBaseSuspension * (int64_t{1} << doublings), kMaxSuspension);
-  } else if (outcome == EndpointOutcome::kGood) {
+  } else if (outcome == EndpointOutcome::kAnswered) {
     state->suspended_until = {};
   }
 }
 
-void EndpointBoard::OnAbandoned(EndpointTicket* ticket) {
-  EndpointState* state = FindMutable(ticket->id, ticket->born);
+void EndpointRegistry::OnAbandoned(EndpointTicket* ticket) {
+  EndpointState* state = FindMutable(ticket->id, ticket->start_unix_ms);
   if (state == nullptr) {
     return;
   }
@@ -268,8 +272,8 @@
   }
 }
 
-void EndpointBoard::RemoveFirstByteDue(const EndpointTicket& ticket,
-                                       EndpointState* state) {
+void EndpointRegistry::RemoveFirstByteDue(const EndpointTicket& ticket,
+                                          EndpointState* state) {
   const auto it = state->first_bytes_due_ms.find(
       (ticket.sent_at + ticket.predicted).count());
   if (it != state->first_bytes_due_ms.end()) {
@@ -277,17 +281,17 @@
   }
 }
 
-EndpointBoard::LoadReport EndpointBoard::OwnLoad() const {
+EndpointRegistry::LoadReport EndpointRegistry::OwnLoad() const {
   LoadReport report;
   for (const auto& [id, state] : endpoints_) {
     if (state.own_load != EndpointLoad{}) {
-      report.emplace_back(state.hash, state.own_load);
+      report.emplace_back(state.incarnation_hash, state.own_load);
     }
   }
   return report;
 }
 
-void EndpointBoard::AddPeerLoad(const LoadReport& report, int sign) {
+void EndpointRegistry::AddPeerLoad(const LoadReport& report, int sign) {
   for (const auto& [hash, load] : report) {
     const auto it = by_hash_.find(hash);
     if (it == by_hash_.end()) {
@@ -299,7 +303,9 @@
   }
 }
 
-void EndpointBoard::SetPeerLoad(Millis now, uint64_t peer, LoadReport report) {
+void EndpointRegistry::SetPeerLoad(Millis now,
+                                   uint64_t peer,
+                                   LoadReport report) {
   PeerLoad& known = peers_[peer];
   AddPeerLoad(known.report, -1);
   // An endpoint may become known or be replaced between two reports, so only
@@ -310,7 +316,7 @@
   known = {now, std::move(report)};
 }
 
-void EndpointBoard::OnTick(Millis now) {
+void EndpointRegistry::OnTick(Millis now) {
   std::vector<std::string> expired;
   for (const auto& [id, state] : endpoints_) {
     if (state.missing_since > Millis(0) &&
@@ -331,7 +337,7 @@
   }
 }
 
-int64_t EndpointBoard::open() const {
+int64_t EndpointRegistry::open() const {
   int64_t n = 0;
   for (const auto& [id, state] : endpoints_) {
     n += state.own_load.open;
--- a/src/coordination/endpoint_board.h
+++ b/src/coordination/endpoint_registry.h
@@ -1,5 +1,5 @@
-#ifndef COORDINATION_ENDPOINT_BOARD_H_
-#define COORDINATION_ENDPOINT_BOARD_H_
+#ifndef COORDINATION_ENDPOINT_REGISTRY_H_
+#define COORDINATION_ENDPOINT_REGISTRY_H_
 
 #include <cstdint>
 #include <map>
@@ -17,19 +17,19 @@
 
 //! How an attempt at an endpoint ended, with regard to the endpoint's health.
 enum class EndpointOutcome {
-  kGood,         //!< A complete answer, also a client error.
+  kAnswered,     //!< A complete answer, also a client error.
   kOverloaded,   //!< Refused for lack of capacity.
   kFailed,       //!< An error answer of the endpoint.
   kLost,         //!< Connection lost, protocol violated or timed out.
   kUnreachable,  //!< No connection could be made.
-  kGone,         //!< Another endpoint answers at the address.
+  kMisdirected,  //!< Another endpoint answers at the address.
 };
 
 //! The endpoints that the directory lists, with their load and health.
 //!
 //! Directory entries decide which endpoints may receive requests; outcomes of
 //! this instance's own requests decide which receive fewer. Not thread-safe.
-class EndpointBoard {
+class EndpointRegistry {
  public:
   //! Load of each endpoint, by the hash of its incarnation.
   using LoadReport = std::vector<std::pair<uint64_t, EndpointLoad>>;
@@ -41,7 +41,7 @@
   //! Applies an entry from a peer's copy of the directory. The copy may be
   //! older than a removal that is known here, so it does not restore an
   //! endpoint that was removed or is missing: returns false for one.
-  bool ApplyCopy(Millis now, const EndpointEntry& entry);
+  bool ApplyFromPeer(Millis now, const EndpointEntry& entry);
 
   //! The directory no longer lists an endpoint. With `store_in_doubt`, one that
   //! was not draining may receive requests for another 1.4 s.
@@ -120,4 +120,4 @@
 
 }  // namespace tamaracktrail
 
-#endif  // COORDINATION_ENDPOINT_BOARD_H_
+#endif  // COORDINATION_ENDPOINT_REGISTRY_H_
--- a/src/coordination/endpoint_state.h
+++ b/src/coordination/endpoint_state.h
@@ -14,7 +14,8 @@
 //! What an instance knows about one incarnation of an endpoint.
 struct EndpointState {
   EndpointEntry entry;
-  uint64_t hash = 0;  //!< Identifies the incarnation in peer messages.
+  uint64_t incarnation_hash =
+      0;  //!< Identifies the incarnation in peer messages.
   //! When it disappeared from the directory, without announcing it, while the
   //! store was in doubt; 0 while it is listed.
   Millis missing_since;
@@ -34,7 +35,7 @@
   //! Smoothed ratio of measured to predicted time to the first event.
   double latency_ratio = 1;
 
-  int64_t prompt_tokens() const {
+  int64_t uncached_tokens() const {
     return own_load.uncached_tokens + peer_load.uncached_tokens;
   }
   int open() const { return own_load.open + peer_load.open; }
--- a/src/coordination/endpoint_table.cpp
+++ b/src/coordination/endpoint_table.cpp
@@ -133,7 +133,7 @@
   return local.empty() ? remote : local;
 }
 
-int EndpointTable::Room(Millis now, const std::string& service) const {
+int EndpointTable::FreeSlots(Millis now, const std::string& service) const {
   double room = 0;
   for (const EndpointCandidate& it : Candidates(now, service)) {
     const Entry& entry = entries_.at(it.name);
@@ -216,10 +216,10 @@
   return out;
 }
 
-std::vector<EndpointNews> EndpointTable::News(
+std::vector<ProbeReport> EndpointTable::ProbeReports(
     Millis now,
     const std::vector<std::string>& assigned) const {
-  std::vector<EndpointNews> reports;
+  std::vector<ProbeReport> reports;
   for (const std::string& name : assigned) {
     auto it = entries_.find(name);
     if (it == entries_.end() || !Fresh(now, it->second)) {
@@ -245,7 +245,7 @@
   return specs;
 }
 
-std::optional<EndpointObservation> EndpointTable::Last(
+std::optional<EndpointObservation> EndpointTable::LastObservation(
     const std::string& endpoint) const {
   auto it = entries_.find(endpoint);
   return it == entries_.end() ? std::nullopt : it->second.last_observation;
--- a/src/coordination/endpoint_table.h
+++ b/src/coordination/endpoint_table.h
@@ -12,7 +12,7 @@
 #include "coordination/endpoint_candidate.h"
 #include "coordination/endpoint_observation.h"
 #include "coordination/endpoint_spec.h"
-#include "protocol/endpoint_news.h"
+#include "protocol/probe_report.h"
 #include "state/millis.h"
 
 namespace tamaracktrail {
@@ -56,7 +56,9 @@
   //! Sets the number of instances that send to the same endpoints, including
   //! this one. Each is assumed to send as many requests as this one between two
   //! load reports.
-  void SetSharers(int instance_count) { instance_count_ = instance_count; }
+  void SetInstanceCount(int instance_count) {
+    instance_count_ = instance_count;
+  }
 
   //! A request is sent to the endpoint. Precondition: each call is followed by
   //! one of OnFinish.
@@ -77,7 +79,7 @@
                                             bool include_full = false) const;
 
   //! Returns how many more requests the service's endpoints can run now.
-  int Room(Millis now, const std::string& service) const;
+  int FreeSlots(Millis now, const std::string& service) const;
 
   //! Whether an endpoint may receive a request now.
   bool Usable(Millis now, const std::string& endpoint) const;
@@ -91,13 +93,14 @@
       const std::vector<std::string>& assigned) const;
 
   //! Returns the fresh observations of the assigned endpoints, for heartbeats.
-  std::vector<EndpointNews> News(
+  std::vector<ProbeReport> ProbeReports(
       Millis now,
       const std::vector<std::string>& assigned) const;
 
   const EndpointSpec* Find(const std::string& endpoint) const;
   std::vector<EndpointSpec> Specs() const;
-  std::optional<EndpointObservation> Last(const std::string& endpoint) const;
+  std::optional<EndpointObservation> LastObservation(
+      const std::string& endpoint) const;
   int InFlight(const std::string& endpoint) const;
 
  private:
--- a/src/coordination/endpoint_ticket.h
+++ b/src/coordination/endpoint_ticket.h
@@ -11,8 +11,8 @@
 //! Identifies one request that was sent to an endpoint, until it has ended.
 struct EndpointTicket {
   std::string id;
-  int64_t born = 0;
-  uint64_t hash = 0;
+  int64_t start_unix_ms = 0;
+  uint64_t incarnation_hash = 0;
   int64_t uncached_tokens = 0;  //!< Still to be prefilled by the endpoint.
   Millis sent_at;
   Millis predicted;  //!< Time from the send to the first byte.
--- a/src/coordination/entry_notice.h
+++ b/src/coordination/entry_notice.h
@@ -35,13 +35,13 @@
 };
 
 //! Results of probes that a peer has made.
-struct NewsNotice {
+struct ProbeReportNotice {
   std::vector<EndpointObservation> observations;
 };
 
 //! Endpoints that this instance has to probe on behalf of its peers, and the
 //! number of instances that send requests to this data centre's endpoints.
-struct ProbeDuty {
+struct ProbeAssignment {
   std::vector<std::string> endpoints;
   int instances = 1;
 };
@@ -56,8 +56,8 @@
                                  SettledNotice,
                                  ContentVerdict,
                                  CatalogNotice,
-                                 NewsNotice,
-                                 ProbeDuty,
+                                 ProbeReportNotice,
+                                 ProbeAssignment,
                                  OrderNotice>;
 
 }  // namespace tamaracktrail
--- a/src/coordination/escrow_policy.h
+++ b/src/coordination/escrow_policy.h
@@ -3,7 +3,7 @@
 
 #include <cstdint>
 
-#include "coordination/stock_view.h"
+#include "coordination/share_view.h"
 #include "state/millis.h"
 
 namespace tamaracktrail {
--- a/src/coordination/exit_sweep.cpp
+++ b/src/coordination/exit_sweep.cpp
@@ -39,7 +39,7 @@
   }
 }
 
-std::vector<ExitSweep::CompletedSweep> ExitSweep::TakeComplete(
+std::vector<ExitSweep::CompletedSweep> ExitSweep::TakeCompletedSweeps(
     std::span<const uint64_t> members) {
   std::vector<CompletedSweep> complete;
   for (auto it = sweeps_.begin(); it != sweeps_.end();) {
--- a/src/coordination/exit_sweep.h
+++ b/src/coordination/exit_sweep.h
@@ -43,7 +43,8 @@
   void OnTick(Millis now, std::span<const uint64_t> members, Outbox& outbox);
 
   //! Sweeps for which all `members` have reported; each is returned once.
-  std::vector<CompletedSweep> TakeComplete(std::span<const uint64_t> members);
+  std::vector<CompletedSweep> TakeCompletedSweeps(
+      std::span<const uint64_t> members);
 
   //! Sweeps that still wait for a report.
   size_t open() const { return sweeps_.size(); }
--- a/src/coordination/flow_action.h
+++ b/src/coordination/flow_action.h
@@ -60,7 +60,7 @@
 };
 
 //! Appends a record to the organisation's ledger shard.
-struct NoteRecord {
+struct AppendRecord {
   Record record;
 };
 
@@ -82,7 +82,7 @@
                                 ForwardChunk,
                                 SettleCharge,
                                 WithdrawCharge,
-                                NoteRecord,
+                                AppendRecord,
                                 FinishRequest>;
 
 }  // namespace tamaracktrail
--- a/src/coordination/keeper.cpp
+++ b/src/coordination/keeper.cpp
@@ -107,8 +107,8 @@
     Reply(request, ResultCode::kOk, outbox);
     return;
   }
-  outbox.Append(Claim{request.organisation, request.key, request.attempt,
-                      request.entry, request.service});
+  outbox.Append(RunClaim{request.organisation, request.key, request.attempt,
+                         request.entry, request.service});
 }
 
 template <SharePolicy Policy>
@@ -262,7 +262,7 @@
 
 template <SharePolicy Policy>
 void Keeper<Policy>::On(Millis now,
-                        const Want& record,
+                        const ShareRequest& record,
                         const AppliedBatch& batch,
                         FoldVerdict,
                         Outbox& outbox) {
@@ -288,7 +288,7 @@
 
 template <SharePolicy Policy>
 void Keeper<Policy>::On(Millis,
-                        const Claim& record,
+                        const RunClaim& record,
                         const AppliedBatch&,
                         FoldVerdict verdict,
                         Outbox& outbox) {
@@ -478,7 +478,7 @@
       now >= *account.share_requested_at + options_.share_request_interval;
   if (shortfall > 0 && request_due && policy_.requests_from_others()) {
     account.share_requested_at = now;
-    outbox.Append(Want{organisation, self_, shortfall});
+    outbox.Append(ShareRequest{organisation, self_, shortfall});
   }
 }
 
--- a/src/coordination/keeper.h
+++ b/src/coordination/keeper.h
@@ -165,12 +165,12 @@
           FoldVerdict verdict,
           Outbox& outbox);
   void On(Millis now,
-          const Want& record,
+          const ShareRequest& record,
           const AppliedBatch& batch,
           FoldVerdict verdict,
           Outbox& outbox);
   void On(Millis now,
-          const Claim& record,
+          const RunClaim& record,
           const AppliedBatch& batch,
           FoldVerdict verdict,
           Outbox& outbox);
--- a/src/coordination/ledger_shard.h
+++ b/src/coordination/ledger_shard.h
@@ -27,7 +27,7 @@
   struct Options {
     Millis key_window = kHour * 24;
     Keeper<EscrowPolicy>::Options keeper;
-    LogWriter::Policy writer;
+    LogWriter::Options writer;
     double hold = 0.5;                 //!< See EscrowPolicy.
     Millis cover = kMinute * 10;       //!< See EscrowPolicy.
     uint64_t snapshot_records = 5000;  //!< Folded between two snapshots.
--- a/src/coordination/log_writer.cpp
+++ b/src/coordination/log_writer.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-LogWriter::LogWriter(uint64_t writer, const BatchCodec* codec, Policy options)
+LogWriter::LogWriter(uint64_t writer, const BatchCodec* codec, Options options)
     : writer_(writer), codec_(codec), options_(options) {}
 
 uint64_t LogWriter::Add(Record record) {
@@ -53,7 +53,7 @@
     return pending_payload_;
   }
   const bool due =
-      !has_sent_batch_ || now >= last_batch_at_ + options_.interval;
+      !has_sent_batch_ || now >= last_batch_at_ + options_.min_batch_interval;
   if (!due || (queue_.empty() && !KeepaliveDue(wall))) {
     return std::nullopt;
   }
--- a/src/coordination/log_writer.h
+++ b/src/coordination/log_writer.h
@@ -22,8 +22,8 @@
 //! (writer, sequence). Not thread-safe.
 class LogWriter {
  public:
-  struct Policy {
-    Millis interval{200};  //!< Shortest time between new batches.
+  struct Options {
+    Millis min_batch_interval{200};  //!< Shortest time between new batches.
     //! Delay before an append is repeated. Each consecutive failure doubles it,
     //! up to 4 times this.
     Millis retry_delay{1000};
@@ -33,7 +33,7 @@
 
   //! Precondition: `codec` outlives the writer; `writer` is this process's
   //! incarnation and no other object writes the stream under it.
-  LogWriter(uint64_t writer, const BatchCodec* codec, Policy options);
+  LogWriter(uint64_t writer, const BatchCodec* codec, Options options);
 
   //! Queues a record and returns its ticket. Tickets are consecutive from 1.
   uint64_t Add(Record record);
@@ -70,7 +70,7 @@
 
   uint64_t writer_;
   const BatchCodec* codec_;
-  Policy options_;
+  Options options_;
   std::deque<Record> queue_;
   uint64_t last_ticket_ = 0;
   uint64_t last_confirmed_ticket_ = 0;
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -65,8 +65,8 @@
   peer.peer_sent_at = heartbeat.sent_at;
   peer.config_version = heartbeat.config_version;
   peer.draining = heartbeat.draining;
-  if (heartbeat.echo_of == self_.incarnation) {
-    peer.echoed_at = heartbeat.echo;
+  if (heartbeat.echoed_incarnation == self_.incarnation) {
+    peer.echoed_at = heartbeat.echoed_sent_at;
     UpdateClockOffset(now, heartbeat, peer);
   } else {
     // The peer has not received a heartbeat of this incarnation yet.
@@ -81,7 +81,7 @@
   // The peer sent this heartbeat after it received the one that this instance
   // sent at `echo`, which gives the bound. An older bound is reduced by the
   // possible drift between the two clocks since then.
-  const Millis bound = heartbeat.echo - heartbeat.sent_at;
+  const Millis bound = heartbeat.echoed_sent_at - heartbeat.sent_at;
   if (peer.min_clock_offset.has_value()) {
     const int64_t age = (now - peer.offset_updated_at).count();
     const Millis old =
@@ -93,7 +93,8 @@
   peer.offset_updated_at = now;
 }
 
-std::optional<Millis> Membership::LocalTime(const Peer& peer, Millis time) {
+std::optional<Millis> Membership::EarliestLocalTime(const Peer& peer,
+                                                    Millis time) {
   if (!peer.min_clock_offset.has_value()) {
     return std::nullopt;
   }
@@ -114,7 +115,7 @@
   }
 }
 
-std::vector<std::string> Membership::Due(Millis now) {
+std::vector<std::string> Membership::TakeDueAddresses(Millis now) {
   const Millis period = HeartbeatPeriod();
   std::vector<std::string> due;
   for (const auto& [address, peer] : peers_) {
@@ -148,8 +149,8 @@
   out.sent_at = now;
   const Peer* peer = ByAddress(address);
   if (peer != nullptr && peer->heard_at.has_value()) {
-    out.echo = peer->peer_sent_at;
-    out.echo_of = peer->incarnation;
+    out.echoed_sent_at = peer->peer_sent_at;
+    out.echoed_incarnation = peer->incarnation;
   }
   return out;
 }
--- a/src/coordination/membership.h
+++ b/src/coordination/membership.h
@@ -66,11 +66,11 @@
 
   //! Earliest time on this instance's clock at which the peer's clock can have
   //! shown `time`; nullopt before the first echo.
-  static std::optional<Millis> LocalTime(const Peer& peer, Millis time);
+  static std::optional<Millis> EarliestLocalTime(const Peer& peer, Millis time);
 
   //! Addresses to which a heartbeat is due now. Each is due again about one
   //! period later.
-  std::vector<std::string> Due(Millis now);
+  std::vector<std::string> TakeDueAddresses(Millis now);
 
   //! The next heartbeat to `address`, without endpoint reports.
   Heartbeat MakeHeartbeat(Millis now,
--- a/src/coordination/outbox.h
+++ b/src/coordination/outbox.h
@@ -13,16 +13,16 @@
 //! Output of a state machine: messages to send to instances and records to
 //! append to the log. Not thread-safe.
 struct Outbox {
-  struct Letter {
+  struct Message {
     uint64_t to = 0;  //!< Incarnation of the receiver.
     PeerMessage message;
   };
 
-  std::vector<Letter> letters;
+  std::vector<Message> messages;
   std::vector<Record> records;
 
   void Send(uint64_t to, PeerMessage message) {
-    letters.push_back({to, std::move(message)});
+    messages.push_back({to, std::move(message)});
   }
   void Append(Record record) { records.push_back(std::move(record)); }
 };
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -5,9 +5,9 @@
 #include <limits>
 #include <utility>
 
-#include "coordination/endpoint_board.h"
+#include "coordination/endpoint_registry.h"
 #include "coordination/endpoint_state.h"
-#include "coordination/prefix_memory.h"
+#include "coordination/prefix_cache_index.h"
 #include "coordination/rendezvous.h"
 #include "state/routed_service.h"
 
@@ -98,8 +98,8 @@
   const EndpointState* fetch_from = nullptr;
 };
 
-Placement::Placement(const EndpointBoard* registry,
-                     const PrefixMemory* prefix_index,
+Placement::Placement(const EndpointRegistry* registry,
+                     const PrefixCacheIndex* prefix_index,
                      std::string data_centre)
     : registry_(registry),
       prefix_index_(prefix_index),
@@ -111,8 +111,8 @@
   const auto* locations = prefix_index_->Find(prefix);
   return locations != nullptr &&
          std::any_of(locations->begin(), locations->end(),
-                     [&](const PrefixMemory::CacheLocation& it) {
-                       return it.endpoint == state.hash &&
+                     [&](const PrefixCacheIndex::CacheLocation& it) {
+                       return it.endpoint == state.incarnation_hash &&
                               now - it.last_used < kPrefixCacheLifetime;
                      });
 }
@@ -125,7 +125,7 @@
   const EndpointState* found = nullptr;
   Millis latest_use;
   if (locations != nullptr) {
-    for (const PrefixMemory::CacheLocation& it : *locations) {
+    for (const PrefixCacheIndex::CacheLocation& it : *locations) {
       const EndpointState* state = registry_->FindByHash(it.endpoint);
       if (state != nullptr && now - it.last_used < kPrefixCacheLifetime &&
           it.last_used > latest_use && now >= state->suspended_until) {
@@ -148,21 +148,21 @@
   bool all_cached = true;
   for (size_t i = 0; i + 1 < prompt.parts.size(); ++i) {
     shared_tokens += prompt.parts[i].tokens;
-    all_cached =
-        all_cached && (&state == preferred ||
-                       HasPrefixCached(now, (*request.chain)[i], state));
+    all_cached = all_cached &&
+                 (&state == preferred ||
+                  HasPrefixCached(now, (*request.prefix_hashes)[i], state));
     cached_tokens += all_cached ? prompt.parts[i].tokens : 0;
   }
   Estimate estimate;
   double fetch_ms = 0;
   const int64_t missing_tokens = shared_tokens - cached_tokens;
   if (missing_tokens >= kMinFetchTokens && request.service->link_mbps > 0) {
-    const uint64_t prefix = (*request.chain)[prompt.parts.size() - 2];
+    const uint64_t prefix = (*request.prefix_hashes)[prompt.parts.size() - 2];
     const EndpointState* source = FindPrefixSource(now, prefix, preferred);
     if (source != nullptr && source != &state) {
       estimate.fetch_from = source;
       const double bits = static_cast<double>(missing_tokens) * 8 *
-                          static_cast<double>(request.service->token_bytes);
+                          static_cast<double>(request.service->kv_token_bytes);
       fetch_ms = kFetchSetupMs + bits / (request.service->link_mbps * 1000);
     }
   }
@@ -172,7 +172,7 @@
   const double latency_factor =
       state.latency_ratio * (1 + kStepSlowdownPerRequest * state.open());
   const double queued_ms =
-      static_cast<double>(std::max<int64_t>(0, state.prompt_tokens())) /
+      static_cast<double>(std::max<int64_t>(0, state.uncached_tokens())) /
       kPrefillTokensPerMs;
   estimate.predicted_ms =
       (kFirstEventBaseMs + queued_ms + PrefillMs(estimate.uncached_tokens)) *
@@ -198,15 +198,16 @@
     const Request& request,
     const std::vector<const EndpointState*>& usable) {
   const EndpointState* preferred = nullptr;
-  if (request.chain->size() < 2) {
+  if (request.prefix_hashes->size() < 2) {
     return preferred;
   }
   // The last part is specific to the request; the prefix before it identifies
   // the session.
-  const uint64_t session = (*request.chain)[request.chain->size() - 2];
+  const uint64_t session =
+      (*request.prefix_hashes)[request.prefix_hashes->size() - 2];
   uint64_t best = 0;
   for (const EndpointState* it : usable) {
-    const uint64_t weight = RendezvousWeight(session, it->hash);
+    const uint64_t weight = RendezvousWeight(session, it->incarnation_hash);
     if (preferred == nullptr || weight > best) {
       best = weight;
       preferred = it;
@@ -221,7 +222,7 @@
     const EndpointState& state,
     const EndpointState* preferred) const {
   Estimate estimate;
-  if (request.prompt != nullptr && request.service->generates) {
+  if (request.prompt != nullptr && request.service->has_engines) {
     estimate = EstimateEngine(now, request, state, preferred);
   } else {
     estimate.predicted_ms = EstimatePlain(state);
@@ -245,7 +246,8 @@
   double min_cost = std::numeric_limits<double>::infinity();
   for (size_t i = 0; i < usable.size(); ++i) {
     const EndpointState& state = *usable[i];
-    if (request.tried != nullptr && request.tried->contains(state.hash)) {
+    if (request.tried != nullptr &&
+        request.tried->contains(state.incarnation_hash)) {
       continue;
     }
     const Estimate estimate = EstimateEndpoint(now, request, state, preferred);
@@ -264,11 +266,11 @@
   }
   Choice choice;
   choice.id = chosen->entry.id;
-  choice.born = chosen->entry.born;
-  choice.hash = chosen->hash;
+  choice.start_unix_ms = chosen->entry.start_unix_ms;
+  choice.incarnation_hash = chosen->incarnation_hash;
   choice.address = chosen->entry.address;
   choice.predicted = Millis(static_cast<int64_t>(chosen_estimate.predicted_ms));
-  choice.prompt_tokens = chosen_estimate.uncached_tokens;
+  choice.uncached_tokens = chosen_estimate.uncached_tokens;
   if (chosen_estimate.fetch_from != nullptr) {
     choice.fetch_from = chosen_estimate.fetch_from->entry.address;
   }
--- a/src/coordination/placement.h
+++ b/src/coordination/placement.h
@@ -12,8 +12,8 @@
 
 namespace tamaracktrail {
 
-class EndpointBoard;
-class PrefixMemory;
+class EndpointRegistry;
+class PrefixCacheIndex;
 struct EndpointState;
 struct RoutedService;
 
@@ -29,27 +29,28 @@
     const RoutedService* service = nullptr;
     const PromptShape* prompt = nullptr;  //!< nullptr for plain services.
     //! Prefix hashes of the prompt's parts; used only with `prompt`.
-    const std::vector<uint64_t>* chain = nullptr;
+    const std::vector<uint64_t>* prefix_hashes = nullptr;
     //! Hashes of the incarnations that this request was already sent to.
     const std::set<uint64_t>* tried = nullptr;
   };
 
   struct Choice {
     std::string id;
-    int64_t born = 0;
-    uint64_t hash = 0;
+    int64_t start_unix_ms = 0;
+    uint64_t incarnation_hash = 0;
     std::string address;
     //! Time to the first event of a stream, or to the answer of a plain
     //! service.
     Millis predicted;
-    int64_t prompt_tokens = 0;  //!< Uncached; the endpoint has to prefill them.
+    int64_t uncached_tokens =
+        0;  //!< Uncached; the endpoint has to prefill them.
     //! Address of the engine to fetch the shared prefix from, or "".
     std::string fetch_from;
   };
 
   //! Precondition: `registry` and `prefix_index` outlive the placement.
-  Placement(const EndpointBoard* registry,
-            const PrefixMemory* prefix_index,
+  Placement(const EndpointRegistry* registry,
+            const PrefixCacheIndex* prefix_index,
             std::string data_centre);
 
   //! Returns nullopt if no endpoint may receive the request. `jitter` is
@@ -85,8 +86,8 @@
       const std::vector<const EndpointState*>& usable);
   static double EstimatePlain(const EndpointState& state);
 
-  const EndpointBoard* registry_;
-  const PrefixMemory* prefix_index_;
+  const EndpointRegistry* registry_;
+  const PrefixCacheIndex* prefix_index_;
   std::string data_centre_;
 };
 
--- a/src/coordination/prefix_memory.cpp
+++ b/src/coordination/prefix_cache_index.cpp
@@ -1,4 +1,4 @@
-#include "coordination/prefix_memory.h"
+#include "coordination/prefix_cache_index.h"
 
 #include <algorithm>
 
@@ -6,7 +6,7 @@
 
 namespace tamaracktrail {
 
-std::vector<uint64_t> PrefixMemory::Chain(
+std::vector<uint64_t> PrefixCacheIndex::HashPrefixes(
     const std::vector<PromptPart>& parts) {
   std::vector<uint64_t> prefix_hashes;
   prefix_hashes.reserve(parts.size());
@@ -18,9 +18,9 @@
   return prefix_hashes;
 }
 
-void PrefixMemory::OnRead(Millis now,
-                          const std::vector<uint64_t>& prefix_hashes,
-                          uint64_t endpoint) {
+void PrefixCacheIndex::OnPromptSent(Millis now,
+                                    const std::vector<uint64_t>& prefix_hashes,
+                                    uint64_t endpoint) {
   for (const uint64_t prefix : prefix_hashes) {
     auto it = entries_.find(prefix);
     if (it == entries_.end()) {
@@ -50,7 +50,8 @@
   }
 }
 
-const PrefixMemory::CacheLocations* PrefixMemory::Find(uint64_t prefix) const {
+const PrefixCacheIndex::CacheLocations* PrefixCacheIndex::Find(
+    uint64_t prefix) const {
   const auto it = entries_.find(prefix);
   return it == entries_.end() ? nullptr : &it->second.locations;
 }
--- a/src/coordination/prefix_memory.h
+++ b/src/coordination/prefix_cache_index.h
@@ -1,5 +1,5 @@
-#ifndef COORDINATION_PREFIX_MEMORY_H_
-#define COORDINATION_PREFIX_MEMORY_H_
+#ifndef COORDINATION_PREFIX_CACHE_INDEX_H_
+#define COORDINATION_PREFIX_CACHE_INDEX_H_
 
 #include <array>
 #include <cstddef>
@@ -16,7 +16,7 @@
 //! Records which endpoints are likely to have a prompt prefix cached, from the
 //! requests that this instance sent. Bounded; evicts the least recently used
 //! prefix. Not thread-safe.
-class PrefixMemory {
+class PrefixCacheIndex {
  public:
   //! Locations that are kept for each prefix.
   static constexpr size_t kMaxLocations = 3;
@@ -27,16 +27,17 @@
   };
   using CacheLocations = std::array<CacheLocation, kMaxLocations>;
 
-  explicit PrefixMemory(size_t capacity) : capacity_(capacity) {}
+  explicit PrefixCacheIndex(size_t capacity) : capacity_(capacity) {}
 
   //! Returns a hash for each part of a prompt, which identifies the prefix that
   //! ends with that part.
-  static std::vector<uint64_t> Chain(const std::vector<PromptPart>& parts);
+  static std::vector<uint64_t> HashPrefixes(
+      const std::vector<PromptPart>& parts);
 
   //! A prompt with these prefix hashes was sent to an endpoint.
-  void OnRead(Millis now,
-              const std::vector<uint64_t>& prefix_hashes,
-              uint64_t endpoint);
+  void OnPromptSent(Millis now,
+                    const std::vector<uint64_t>& prefix_hashes,
+                    uint64_t endpoint);
 
   //! Returns the endpoints that a prefix was sent to; nullptr if there are
   //! none.
@@ -57,4 +58,4 @@
 
 }  // namespace tamaracktrail
 
-#endif  // COORDINATION_PREFIX_MEMORY_H_
+#endif  // COORDINATION_PREFIX_CACHE_INDEX_H_
--- a/src/coordination/prompt_shape.h
+++ b/src/coordination/prompt_shape.h
@@ -15,7 +15,7 @@
   std::vector<PromptPart> parts;  //!< In order; only the last is not shared.
 
   //! Upper bound of the tokens that the request can cost.
-  int64_t most_tokens() const { return prompt_tokens + max_output_tokens; }
+  int64_t max_tokens() const { return prompt_tokens + max_output_tokens; }
 
   friend bool operator==(const PromptShape&, const PromptShape&) = default;
 };
--- a/src/coordination/rendezvous.cpp
+++ b/src/coordination/rendezvous.cpp
@@ -35,7 +35,7 @@
   return best;
 }
 
-std::vector<uint64_t> RendezvousSpread(const std::vector<std::string>& keys,
+std::vector<uint64_t> RendezvousAssign(const std::vector<std::string>& keys,
                                        std::span<const uint64_t> candidates) {
   std::vector<uint64_t> assigned;
   if (candidates.empty()) {
@@ -55,10 +55,10 @@
   return assigned;
 }
 
-bool RendezvousAmong(const std::string& key,
-                     std::span<const uint64_t> candidates,
-                     uint64_t self,
-                     size_t n) {
+bool RendezvousIsAmongTop(const std::string& key,
+                          std::span<const uint64_t> candidates,
+                          uint64_t self,
+                          size_t n) {
   const uint64_t own_weight = RendezvousWeight(key, self);
   const auto higher_count =
       std::count_if(candidates.begin(), candidates.end(), [&](uint64_t it) {
--- a/src/coordination/rendezvous.h
+++ b/src/coordination/rendezvous.h
@@ -24,15 +24,15 @@
 //! Returns a candidate for each key: the one with the highest weight among
 //! those that have fewer than keys / candidates keys, rounded up. Empty if
 //! there are no candidates. Thread-safe.
-std::vector<uint64_t> RendezvousSpread(const std::vector<std::string>& keys,
+std::vector<uint64_t> RendezvousAssign(const std::vector<std::string>& keys,
                                        std::span<const uint64_t> candidates);
 
 //! Whether `self` is among the `n` candidates with the highest weight.
 //! Thread-safe.
-bool RendezvousAmong(const std::string& key,
-                     std::span<const uint64_t> candidates,
-                     uint64_t self,
-                     size_t n);
+bool RendezvousIsAmongTop(const std::string& key,
+                          std::span<const uint64_t> candidates,
+                          uint64_t self,
+                          size_t n);
 
 }  // namespace tamaracktrail
 
--- a/src/coordination/request_flow.cpp
+++ b/src/coordination/request_flow.cpp
@@ -97,7 +97,7 @@
     case UpstreamEvent::Kind::kEnd:
       may_have_reached_endpoint_ = true;
       return OnEnd(now, event);
-    case UpstreamEvent::Kind::kCut:
+    case UpstreamEvent::Kind::kConnectionLost:
       may_have_reached_endpoint_ = true;
       return OnAttemptLost(now, ResultCode::kEndpointLost);
     case UpstreamEvent::Kind::kError:
@@ -112,7 +112,7 @@
   if (tries_ >= spec_.max_tries || caller_gone_) {
     return Fail(code);
   }
-  Actions out{NoteRecord{MakeRun(code)}};
+  Actions out{AppendRecord{MakeRun(code)}};
   const Actions dispatch = Dispatch();
   out.insert(out.end(), dispatch.begin(), dispatch.end());
   return out;
@@ -140,9 +140,9 @@
   }
   Actions out;
   if (!spec_.repeatable) {
-    out.push_back(NoteRecord{Outcome{spec_.organisation, spec_.key,
-                                     spec_.attempt, endpoint_, event.status,
-                                     static_cast<int32_t>(ResultCode::kOk)}});
+    out.push_back(AppendRecord{Outcome{spec_.organisation, spec_.key,
+                                       spec_.attempt, endpoint_, event.status,
+                                       static_cast<int32_t>(ResultCode::kOk)}});
   }
   if (caller_gone_) {
     const Actions fail = Fail(ResultCode::kCallerGone);
@@ -191,7 +191,7 @@
   if (!retries_->TakeRetry()) {
     return Fail(ResultCode::kRetryBudgetSpent);
   }
-  Actions out{NoteRecord{MakeRun(ResultCode::kEndpointLost)}};
+  Actions out{AppendRecord{MakeRun(ResultCode::kEndpointLost)}};
   const Actions dispatch = Dispatch();
   out.insert(out.end(), dispatch.begin(), dispatch.end());
   return out;
@@ -254,12 +254,12 @@
   const RunState run_state = StateFor(code);
   Actions out;
   if (may_have_reached_endpoint_) {
-    out.push_back(NoteRecord{MakeRun(code)});
+    out.push_back(AppendRecord{MakeRun(code)});
   } else {
     out.push_back(
-        NoteRecord{Refusal{spec_.organisation, spec_.key, spec_.entry,
-                           spec_.service, static_cast<int32_t>(code),
-                           InfoOf(code).description, spec_.config_version}});
+        AppendRecord{Refusal{spec_.organisation, spec_.key, spec_.entry,
+                             spec_.service, static_cast<int32_t>(code),
+                             InfoOf(code).description, spec_.config_version}});
   }
   EndReservation(out);
   phase_ = Phase::kDone;
--- a/src/coordination/stock_view.h
+++ b/src/coordination/share_view.h
@@ -1,5 +1,5 @@
-#ifndef COORDINATION_STOCK_VIEW_H_
-#define COORDINATION_STOCK_VIEW_H_
+#ifndef COORDINATION_SHARE_VIEW_H_
+#define COORDINATION_SHARE_VIEW_H_
 
 #include <cstdint>
 
@@ -23,4 +23,4 @@
 
 }  // namespace tamaracktrail
 
-#endif  // COORDINATION_STOCK_VIEW_H_
+#endif  // COORDINATION_SHARE_VIEW_H_
--- a/src/coordination/upstream_event.h
+++ b/src/coordination/upstream_event.h
@@ -9,15 +9,15 @@
 //! An event of one attempt at an endpoint.
 struct UpstreamEvent {
   enum class Kind {
-    kConnectFailed,  //!< No byte of the call was sent.
-    kRefused,        //!< The endpoint states that it did not run the call.
-    kChunk,          //!< The next chunk of a streamed answer.
-    kEnd,            //!< The answer is complete.
-    kCut,            //!< The connection ended after bytes were sent.
-    kError,          //!< The endpoint answered with an error.
+    kConnectFailed,   //!< No byte of the call was sent.
+    kRefused,         //!< The endpoint states that it did not run the call.
+    kChunk,           //!< The next chunk of a streamed answer.
+    kEnd,             //!< The answer is complete.
+    kConnectionLost,  //!< The connection ended after bytes were sent.
+    kError,           //!< The endpoint answered with an error.
   };
 
-  Kind kind = Kind::kCut;
+  Kind kind = Kind::kConnectionLost;
   //! Index of a chunk, from 0; for kEnd the number of chunks.
   uint64_t sequence = 0;
   std::string data;  //!< The chunk, or the body of a plain answer.
--- a/src/protocol/call_dialect.h
+++ b/src/protocol/call_dialect.h
@@ -29,7 +29,8 @@
   //! the relay sets itself.
   std::vector<std::string> not_forwarded;
   //! Parses the prompt description of a request; nullopt if it has none.
-  std::optional<PromptShape> (*read_prompt)(const HttpFields& fields) = nullptr;
+  std::optional<PromptShape> (*parse_prompt)(const HttpFields& fields) =
+      nullptr;
 };
 
 }  // namespace tamaracktrail
--- a/src/protocol/heartbeat.h
+++ b/src/protocol/heartbeat.h
@@ -8,7 +8,7 @@
 #include <cereal/types/string.hpp>
 #include <cereal/types/vector.hpp>
 
-#include "protocol/endpoint_news.h"
+#include "protocol/probe_report.h"
 #include "state/instance_id.h"
 #include "state/millis.h"
 
@@ -24,17 +24,17 @@
   //! Send time by the sender's monotonic clock; the receiver echoes it.
   Millis sent_at;
   //! `sent_at` of the last heartbeat that the sender got from the receiver.
-  Millis echo;
+  Millis echoed_sent_at;
   //! Incarnation that sent the echoed heartbeat; 0 if none was received.
-  uint64_t echo_of = 0;
-  std::vector<EndpointNews> endpoints;
+  uint64_t echoed_incarnation = 0;
+  std::vector<ProbeReport> probe_reports;
 
   friend bool operator==(const Heartbeat&, const Heartbeat&) = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(from, data_centre, sequence, config_version, draining, sent_at,
-            echo, echo_of, endpoints);
+            echoed_sent_at, echoed_incarnation, probe_reports);
   }
 };
 
--- a/src/protocol/ini_reader.cpp
+++ b/src/protocol/ini_reader.cpp
@@ -141,7 +141,7 @@
   faults_->push_back({file_, section, key, read, allowed});
 }
 
-void IniReader::CheckNoOthers() {
+void IniReader::RejectUnknownKeys() {
   for (const std::string& section : Sections()) {
     gchar** keys =
         g_key_file_get_keys(keys_, section.c_str(), nullptr, nullptr);
--- a/src/protocol/ini_reader.h
+++ b/src/protocol/ini_reader.h
@@ -76,7 +76,7 @@
                 const std::string& allowed);
 
   //! Adds a fault for each key that no earlier call has requested.
-  void CheckNoOthers();
+  void RejectUnknownKeys();
 
  private:
   std::string file_;
--- a/src/protocol/model_call.cpp
+++ b/src/protocol/model_call.cpp
@@ -82,7 +82,8 @@
   const std::string prompt = PromptText(parsed, chat);
   call.prefix = prompt.substr(0, kPrefixBytes);
   // A token has at least one byte, so the size in bytes bounds the tokens.
-  call.prompt_bound = static_cast<int64_t>(prompt.size()) + kMaxTemplateTokens;
+  call.max_prompt_tokens =
+      static_cast<int64_t>(prompt.size()) + kMaxTemplateTokens;
   parsed["stream"] = true;
   parsed["max_tokens"] = call.max_tokens;
   parsed["stream_options"] = {{"include_usage", true}};
@@ -103,12 +104,12 @@
   return text.is_string() ? text.get<std::string>() : "";
 }
 
-std::string WholeAnswer(const std::string& id,
-                        const std::string& model,
-                        const std::string& text,
-                        int64_t prompt_tokens,
-                        int64_t completion_tokens,
-                        bool chat) {
+std::string MakeCompleteAnswer(const std::string& id,
+                               const std::string& model,
+                               const std::string& text,
+                               int64_t prompt_tokens,
+                               int64_t completion_tokens,
+                               bool chat) {
   json choice = {{"index", 0}, {"finish_reason", "stop"}};
   if (chat) {
     choice["message"] = {{"role", "assistant"}, {"content", text}};
--- a/src/protocol/model_call.h
+++ b/src/protocol/model_call.h
@@ -11,11 +11,11 @@
 //! The parts of a caller's model request that routing needs. Immutable.
 struct ModelCall {
   std::string model;
-  std::string body;          //!< For the endpoint; always asks for a stream.
-  std::string prefix;        //!< Prefix of the prompt, for cache affinity.
-  bool chat = true;          //!< /v1/chat/completions, else /v1/completions.
-  bool stream = false;       //!< Whether the caller asked for a stream.
-  int64_t prompt_bound = 0;  //!< Upper bound of the prompt tokens.
+  std::string body;     //!< For the endpoint; always asks for a stream.
+  std::string prefix;   //!< Prefix of the prompt, for cache affinity.
+  bool chat = true;     //!< /v1/chat/completions, else /v1/completions.
+  bool stream = false;  //!< Whether the caller asked for a stream.
+  int64_t max_prompt_tokens = 0;  //!< Upper bound of the prompt tokens.
   int64_t max_tokens = 0;
 };
 
@@ -29,12 +29,12 @@
 std::string ChunkText(const std::string& chunk, bool chat);
 
 //! Body of a complete answer for a caller that did not ask for a stream.
-std::string WholeAnswer(const std::string& id,
-                        const std::string& model,
-                        const std::string& text,
-                        int64_t prompt_tokens,
-                        int64_t completion_tokens,
-                        bool chat);
+std::string MakeCompleteAnswer(const std::string& id,
+                               const std::string& model,
+                               const std::string& text,
+                               int64_t prompt_tokens,
+                               int64_t completion_tokens,
+                               bool chat);
 
 }  // namespace tamaracktrail
 
--- a/src/protocol/peer_message.h
+++ b/src/protocol/peer_message.h
@@ -11,7 +11,7 @@
 #include "protocol/hello.h"
 #include "protocol/orphan_query.h"
 #include "protocol/orphan_report.h"
-#include "protocol/records_note.h"
+#include "protocol/records_to_append.h"
 #include "protocol/reservation_end.h"
 #include "protocol/reservation_query.h"
 #include "protocol/reserve_reply.h"
@@ -31,7 +31,7 @@
                                  SettleReply,
                                  ChargeConfirmed,
                                  ReservationEnd,
-                                 RecordsNote,
+                                 RecordsToAppend,
                                  OrphanQuery,
                                  OrphanReport,
                                  ConfigRequest,
--- a/src/protocol/endpoint_news.h
+++ b/src/protocol/probe_report.h
@@ -1,5 +1,5 @@
-#ifndef PROTOCOL_ENDPOINT_NEWS_H_
-#define PROTOCOL_ENDPOINT_NEWS_H_
+#ifndef PROTOCOL_PROBE_REPORT_H_
+#define PROTOCOL_PROBE_REPORT_H_
 
 #include <cstdint>
 #include <string>
@@ -11,7 +11,7 @@
 namespace tamaracktrail {
 
 //! Result of the sender's own probe of an endpoint.
-struct EndpointNews {
+struct ProbeReport {
   std::string endpoint;
   //! Time since the probe was sent.
   Millis age;
@@ -20,7 +20,7 @@
   //! Number of requests in progress, as the endpoint reported it.
   int32_t load = 0;
 
-  friend bool operator==(const EndpointNews&, const EndpointNews&) = default;
+  friend bool operator==(const ProbeReport&, const ProbeReport&) = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -30,4 +30,4 @@
 
 }  // namespace tamaracktrail
 
-#endif  // PROTOCOL_ENDPOINT_NEWS_H_
+#endif  // PROTOCOL_PROBE_REPORT_H_
--- a/src/protocol/records_note.h
+++ b/src/protocol/records_to_append.h
@@ -1,5 +1,5 @@
-#ifndef PROTOCOL_RECORDS_NOTE_H_
-#define PROTOCOL_RECORDS_NOTE_H_
+#ifndef PROTOCOL_RECORDS_TO_APPEND_H_
+#define PROTOCOL_RECORDS_TO_APPEND_H_
 
 #include <string>
 #include <vector>
@@ -12,11 +12,12 @@
 namespace tamaracktrail {
 
 //! Asks the receiver to append records to an organisation's ledger shard.
-struct RecordsNote {
+struct RecordsToAppend {
   std::string organisation;
   std::vector<Record> records;
 
-  friend bool operator==(const RecordsNote&, const RecordsNote&) = default;
+  friend bool operator==(const RecordsToAppend&,
+                         const RecordsToAppend&) = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -26,4 +27,4 @@
 
 }  // namespace tamaracktrail
 
-#endif  // PROTOCOL_RECORDS_NOTE_H_
+#endif  // PROTOCOL_RECORDS_TO_APPEND_H_
--- a/src/protocol/event_cutter.cpp
+++ b/src/protocol/sse_splitter.cpp
@@ -1,4 +1,4 @@
-#include "protocol/event_cutter.h"
+#include "protocol/sse_splitter.h"
 
 #include <algorithm>
 #include <cstddef>
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-std::string EventCutter::Feed(std::string_view bytes) {
+std::string SseSplitter::Feed(std::string_view bytes) {
   buffer_.append(bytes);
   std::string complete;
   size_t at = 0;
@@ -60,9 +60,9 @@
     std::string id;
     if (!IsRepeated(event, &id)) {
       complete.append(event);
-      ++count_;
+      ++event_count_;
       if (!id.empty()) {
-        last_id_ = std::move(id);
+        last_event_id_ = std::move(id);
       }
     }
     at += end;
@@ -71,16 +71,16 @@
   return complete;
 }
 
-bool EventCutter::IsRepeated(std::string_view event, std::string* id) const {
+bool SseSplitter::IsRepeated(std::string_view event, std::string* id) const {
   const std::string_view text = EventId(event);
   *id = std::string(text);
   int64_t number = 0;
   int64_t last = 0;
   return absl::SimpleAtoi(AsAbsl(text), &number) &&
-         absl::SimpleAtoi(last_id_, &last) && number <= last;
+         absl::SimpleAtoi(last_event_id_, &last) && number <= last;
 }
 
-std::string EventCutter::TakeRest() {
+std::string SseSplitter::TakeIncompleteEvent() {
   return std::exchange(buffer_, {});
 }
 
--- a/src/protocol/event_cutter.h
+++ b/src/protocol/sse_splitter.h
@@ -1,5 +1,5 @@
-#ifndef PROTOCOL_EVENT_CUTTER_H_
-#define PROTOCOL_EVENT_CUTTER_H_
+#ifndef PROTOCOL_SSE_SPLITTER_H_
+#define PROTOCOL_SSE_SPLITTER_H_
 
 #include <cstdint>
 #include <string>
@@ -9,7 +9,7 @@
 
 //! Splits a stream of server-sent events at event boundaries without changing
 //! the bytes of the events. Not thread-safe.
-class EventCutter {
+class SseSplitter {
  public:
   //! Adds bytes and returns the complete events that the caller has not
   //! received yet: events whose id is not above `last_id`, which a resumed
@@ -20,21 +20,21 @@
   void Restart() { buffer_.clear(); }
 
   //! Removes and returns the bytes of an incomplete event.
-  std::string TakeRest();
+  std::string TakeIncompleteEvent();
 
   //! Number of events returned so far.
-  int64_t count() const { return count_; }
+  int64_t event_count() const { return event_count_; }
   //! Id of the last returned event that has one; empty if there is none.
-  const std::string& last_id() const { return last_id_; }
+  const std::string& last_event_id() const { return last_event_id_; }
 
  private:
   bool IsRepeated(std::string_view event, std::string* id) const;
 
   std::string buffer_;
-  int64_t count_ = 0;
-  std::string last_id_;
+  int64_t event_count_ = 0;
+  std::string last_event_id_;
 };
 
 }  // namespace tamaracktrail
 
-#endif  // PROTOCOL_EVENT_CUTTER_H_
+#endif  // PROTOCOL_SSE_SPLITTER_H_
--- a/src/state/batch.h
+++ b/src/state/batch.h
@@ -18,7 +18,7 @@
   uint64_t writer = 0;    //!< Incarnation of the writer.
   uint64_t sequence = 0;  //!< Starts at 1, without gaps.
   //! Digest of the preceding batch; empty for the first.
-  std::string previous;
+  std::string previous_digest;
   Millis wall;  //!< Wall-clock time of the writer; advances the fold clock.
   std::vector<Record> records;
 
@@ -26,7 +26,7 @@
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(writer, sequence, previous, wall, records);
+    archive(writer, sequence, previous_digest, wall, records);
   }
 };
 
--- a/src/state/control_fold.cpp
+++ b/src/state/control_fold.cpp
@@ -25,7 +25,7 @@
   return it == published_.end() ? std::nullopt : std::optional(it->second);
 }
 
-std::vector<uint64_t> ControlFold::LiveIn(
+std::vector<uint64_t> ControlFold::LiveIncarnations(
     const std::string& data_centre) const {
   std::vector<uint64_t> live;
   for (const auto& [incarnation, member] : members_) {
@@ -124,11 +124,11 @@
   return FoldVerdict::kAccepted;
 }
 
-FoldVerdict ControlFold::On(const Acquit& record, const FoldContext&) {
+FoldVerdict ControlFold::On(const TrialEnd& record, const FoldContext&) {
   if (TrialOf(record.content) != record.attempt) {
     return FoldVerdict::kLostRace;
   }
-  if (record.well) {
+  if (record.succeeded) {
     contents_.erase(record.content);
   } else {
     contents_[record.content].trial = 0;
--- a/src/state/control_fold.h
+++ b/src/state/control_fold.h
@@ -65,7 +65,7 @@
   const std::map<uint64_t, Member>& members() const { return members_; }
 
   //! Incarnations of a data centre that have joined and not exited.
-  std::vector<uint64_t> LiveIn(const std::string& data_centre) const;
+  std::vector<uint64_t> LiveIncarnations(const std::string& data_centre) const;
 
   //! Number of recorded endpoint crashes during runs of this content.
   size_t CrashCount(const std::string& content) const;
@@ -101,7 +101,7 @@
   FoldVerdict On(const Exit& record, const FoldContext& context);
   FoldVerdict On(const Crash& record, const FoldContext& context);
   FoldVerdict On(const Trial& record, const FoldContext& context);
-  FoldVerdict On(const Acquit& record, const FoldContext& context);
+  FoldVerdict On(const TrialEnd& record, const FoldContext& context);
   FoldVerdict On(const Term& record, const FoldContext& context);
   FoldVerdict On(const Order& record, const FoldContext& context);
   template <class Other>
--- a/src/state/endpoint_entry.h
+++ b/src/state/endpoint_entry.h
@@ -14,9 +14,9 @@
   std::string service;
   std::string address;  //!< "ip:port".
   std::string data_centre;
-  int64_t born = 0;      //!< Start time of the incarnation, Unix ms.
-  int64_t sequence = 0;  //!< Increases with each entry of an incarnation.
-  int slots = 0;         //!< Requests that it runs concurrently.
+  int64_t start_unix_ms = 0;  //!< Start time of the incarnation, Unix ms.
+  int64_t sequence = 0;       //!< Increases with each entry of an incarnation.
+  int slots = 0;              //!< Requests that it runs concurrently.
   bool draining = false;
   //! Remaining time for which it is slow after its start.
   Millis cold_remaining;
--- a/src/state/ledger_fold.cpp
+++ b/src/state/ledger_fold.cpp
@@ -45,7 +45,7 @@
   return time.has_value() && *time + key_window_ <= std::max(wall, now());
 }
 
-int64_t LedgerFold::HeldBy(uint64_t holder) const {
+int64_t LedgerFold::TokensHeldBy(uint64_t holder) const {
   auto it = held_.find(holder);
   return it == held_.end() ? 0 : it->second;
 }
@@ -137,7 +137,7 @@
   return FoldVerdict::kAccepted;
 }
 
-FoldVerdict LedgerFold::On(const Want&, const FoldContext&) {
+FoldVerdict LedgerFold::On(const ShareRequest&, const FoldContext&) {
   return FoldVerdict::kAccepted;
 }
 
@@ -179,7 +179,7 @@
   return FoldVerdict::kAccepted;
 }
 
-FoldVerdict LedgerFold::On(const Claim& record, const FoldContext&) {
+FoldVerdict LedgerFold::On(const RunClaim& record, const FoldContext&) {
   if (abandoned_attempts_.contains(record.attempt)) {
     return FoldVerdict::kLostRace;
   }
--- a/src/state/ledger_fold.h
+++ b/src/state/ledger_fold.h
@@ -47,7 +47,7 @@
   bool HolderExited(uint64_t holder) const { return exited_.contains(holder); }
 
   //! Sum of the tokens in all shares of `holder`.
-  int64_t HeldBy(uint64_t holder) const;
+  int64_t TokensHeldBy(uint64_t holder) const;
 
   //! Tokens in the shares of `holder`, by organisation.
   std::map<std::string, int64_t> SharesOf(uint64_t holder) const;
@@ -73,9 +73,9 @@
   FoldVerdict On(const TopUp& record, const FoldContext& context);
   FoldVerdict On(const Draw& record, const FoldContext& context);
   FoldVerdict On(const Return& record, const FoldContext& context);
-  FoldVerdict On(const Want& record, const FoldContext& context);
+  FoldVerdict On(const ShareRequest& record, const FoldContext& context);
   FoldVerdict On(const Charge& record, const FoldContext& context);
-  FoldVerdict On(const Claim& record, const FoldContext& context);
+  FoldVerdict On(const RunClaim& record, const FoldContext& context);
   FoldVerdict On(const Abandon& record, const FoldContext& context);
   FoldVerdict On(const Outcome& record, const FoldContext& context);
   FoldVerdict On(const Run& record, const FoldContext& context);
--- a/src/state/record.h
+++ b/src/state/record.h
@@ -4,9 +4,7 @@
 #include <variant>
 
 #include "state/abandon.h"
-#include "state/acquit.h"
 #include "state/charge.h"
-#include "state/claim.h"
 #include "state/configuration.h"
 #include "state/control_snapshot.h"
 #include "state/crash.h"
@@ -21,11 +19,13 @@
 #include "state/release.h"
 #include "state/return.h"
 #include "state/run.h"
+#include "state/run_claim.h"
+#include "state/share_request.h"
 #include "state/term.h"
 #include "state/top_up.h"
 #include "state/trial.h"
+#include "state/trial_end.h"
 #include "state/void.h"
-#include "state/want.h"
 
 namespace tamaracktrail {
 
@@ -34,9 +34,9 @@
 using Record = std::variant<TopUp,
                             Draw,
                             Return,
-                            Want,
+                            ShareRequest,
                             Charge,
-                            Claim,
+                            RunClaim,
                             Abandon,
                             Outcome,
                             Run,
@@ -52,7 +52,7 @@
                             Order,
                             ControlSnapshot,
                             Void,
-                            Acquit,
+                            TrialEnd,
                             Fence>;
 
 }  // namespace tamaracktrail
--- a/src/state/route.h
+++ b/src/state/route.h
@@ -12,26 +12,27 @@
 //! One route of a configuration. Not modified after the configuration is built.
 struct Route {
   //! One of the services among which the route divides its requests.
-  struct Part {
+  struct WeightedService {
     std::string service;
     int weight = 1;
 
-    friend bool operator==(const Part&, const Part&) = default;
+    friend bool operator==(const WeightedService&,
+                           const WeightedService&) = default;
   };
 
   std::string name;
   std::string host;
   std::string path_prefix;  //!< Starts and ends with a slash.
   CallKind kind = CallKind::kUnsafe;
-  bool resumable = false;  //!< Another endpoint may continue a stream.
-  bool is_public = false;  //!< Requires no API key.
-  int priority = 0;        //!< 0 is the highest.
-  int max_attempts = 1;    //!< Largest number of endpoints tried per request.
-  Millis timeout;          //!< Longest time to the complete answer.
-  Millis objective;        //!< Time to the answer or a stream's first event.
-  Millis gap_objective;    //!< Longest gap between two events of a stream.
-  Millis patience;         //!< Longest gap before callers disconnect.
-  std::vector<Part> split;
+  bool resumable = false;    //!< Another endpoint may continue a stream.
+  bool is_public = false;    //!< Requires no API key.
+  int priority = 0;          //!< 0 is the highest.
+  int max_attempts = 1;      //!< Largest number of endpoints tried per request.
+  Millis timeout;            //!< Longest time to the complete answer.
+  Millis latency_objective;  //!< Time to the answer or a stream's first event.
+  Millis gap_objective;      //!< Longest gap between two events of a stream.
+  Millis event_timeout;      //!< Longest gap before callers disconnect.
+  std::vector<WeightedService> weighted_services;
 
   //! Whether a request may safely run more than once.
   bool repeatable() const {
--- a/src/state/routed_service.h
+++ b/src/state/routed_service.h
@@ -11,13 +11,13 @@
 struct RoutedService {
   std::string name;
   int connection_limit = 0;     //!< Per endpoint, over all callers.
-  bool generates = false;       //!< Its endpoints are model engines.
+  bool has_engines = false;     //!< Its endpoints are model engines.
   int slots = 0;                //!< Concurrent requests per engine.
   int64_t kv_cache_tokens = 0;  //!< Capacity of an engine's KV cache.
   //! Tokens per event of a stream; 0 if the service does not specify it.
-  int event_tokens = 0;
-  int64_t token_bytes = 0;  //!< KV cache bytes per token.
-  double link_mbps = 0;     //!< Between engines, for KV cache transfers.
+  int tokens_per_event = 0;
+  int64_t kv_token_bytes = 0;  //!< KV cache bytes per token.
+  double link_mbps = 0;        //!< Between engines, for KV cache transfers.
 
   friend bool operator==(const RoutedService&, const RoutedService&) = default;
 };
--- a/src/state/routing_config.cpp
+++ b/src/state/routing_config.cpp
@@ -66,7 +66,8 @@
   return it == by_service_.end() ? nullptr : &services_[it->second];
 }
 
-const Organisation* RoutingConfig::FindByKey(const std::string& key) const {
+const Organisation* RoutingConfig::FindOrganisationByKey(
+    const std::string& key) const {
   const auto it = by_key_.find(key);
   return it == by_key_.end() ? nullptr : &organisations_[it->second];
 }
--- a/src/state/routing_config.h
+++ b/src/state/routing_config.h
@@ -39,7 +39,7 @@
 
   //! Returns the organisation that holds an API key; nullptr for an unknown
   //! key.
-  const Organisation* FindByKey(const std::string& key) const;
+  const Organisation* FindOrganisationByKey(const std::string& key) const;
 
   //! Whether routes that are not public require an API key.
   bool has_organisations() const { return !organisations_.empty(); }
--- a/src/state/claim.h
+++ b/src/state/run_claim.h
@@ -1,5 +1,5 @@
-#ifndef STATE_CLAIM_H_
-#define STATE_CLAIM_H_
+#ifndef STATE_RUN_CLAIM_H_
+#define STATE_RUN_CLAIM_H_
 
 #include <cstdint>
 #include <string>
@@ -9,14 +9,14 @@
 namespace tamaracktrail {
 
 //! Claims the single run of a non-repeatable request. The first claim wins.
-struct Claim {
+struct RunClaim {
   std::string organisation;
   std::string key;
   uint64_t attempt = 0;
   uint64_t entry = 0;
   std::string service;
 
-  friend bool operator==(const Claim&, const Claim&) = default;
+  friend bool operator==(const RunClaim&, const RunClaim&) = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -26,4 +26,4 @@
 
 }  // namespace tamaracktrail
 
-#endif  // STATE_CLAIM_H_
+#endif  // STATE_RUN_CLAIM_H_
--- a/src/state/budget_beat.cpp
+++ b/src/state/share_lock.cpp
@@ -1,4 +1,4 @@
-#include "state/budget_beat.h"
+#include "state/share_lock.h"
 
 #include <cereal/archives/portable_binary.hpp>
 #include <cereal/types/string.hpp>
--- a/src/state/budget_beat.h
+++ b/src/state/share_lock.h
@@ -1,5 +1,5 @@
-#ifndef STATE_BUDGET_BEAT_H_
-#define STATE_BUDGET_BEAT_H_
+#ifndef STATE_SHARE_LOCK_H_
+#define STATE_SHARE_LOCK_H_
 
 #include <cstdint>
 #include <optional>
@@ -38,4 +38,4 @@
 
 }  // namespace tamaracktrail
 
-#endif  // STATE_BUDGET_BEAT_H_
+#endif  // STATE_SHARE_LOCK_H_
--- a/src/state/want.h
+++ b/src/state/share_request.h
@@ -1,5 +1,5 @@
-#ifndef STATE_WANT_H_
-#define STATE_WANT_H_
+#ifndef STATE_SHARE_REQUEST_H_
+#define STATE_SHARE_REQUEST_H_
 
 #include <cstdint>
 #include <string>
@@ -10,12 +10,12 @@
 
 //! Asks other keepers for tokens of a budget, of which the holder has too few
 //! for its waiting requests.
-struct Want {
+struct ShareRequest {
   std::string organisation;
   uint64_t holder = 0;
   int64_t tokens = 0;  //!< Tokens that are missing.
 
-  friend bool operator==(const Want&, const Want&) = default;
+  friend bool operator==(const ShareRequest&, const ShareRequest&) = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -25,4 +25,4 @@
 
 }  // namespace tamaracktrail
 
-#endif  // STATE_WANT_H_
+#endif  // STATE_SHARE_REQUEST_H_
--- a/src/state/stream_view.h
+++ b/src/state/stream_view.h
@@ -59,9 +59,9 @@
 
   //! Number of batches dropped because of a wrong tag or a broken hash chain,
   //! or because they did not decode. Snapshots that do not decode count too.
-  uint64_t dropped() const { return dropped_batches_; }
+  uint64_t dropped_batches() const { return dropped_batches_; }
   //! Number of repeated appends that were ignored.
-  uint64_t repeats() const { return repeated_batches_; }
+  uint64_t repeated_batches() const { return repeated_batches_; }
 
   //! Feeds the next entry. Returns the batches that were applied to the fold
   //! because of it: none while a snapshot is missing, several once it is found.
--- a/src/state/acquit.h
+++ b/src/state/trial_end.h
@@ -1,5 +1,5 @@
-#ifndef STATE_ACQUIT_H_
-#define STATE_ACQUIT_H_
+#ifndef STATE_TRIAL_END_H_
+#define STATE_TRIAL_END_H_
 
 #include <cstdint>
 #include <string>
@@ -10,20 +10,20 @@
 
 //! The attempt that a trial allowed has ended without a crash, so that another
 //! trial may be claimed. If it succeeded, the content's crashes are forgotten.
-struct Acquit {
+struct TrialEnd {
   std::string content;
   uint64_t attempt = 0;
   //! Whether the complete answer was delivered.
-  bool well = false;
+  bool succeeded = false;
 
-  friend bool operator==(const Acquit&, const Acquit&) = default;
+  friend bool operator==(const TrialEnd&, const TrialEnd&) = default;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(content, attempt, well);
+    archive(content, attempt, succeeded);
   }
 };
 
 }  // namespace tamaracktrail
 
-#endif  // STATE_ACQUIT_H_
+#endif  // STATE_TRIAL_END_H_
--- a/src/state/writer_chains.cpp
+++ b/src/state/writer_chains.cpp
@@ -19,7 +19,7 @@
     return Verdict::kRepeat;
   }
   const std::string expected = it == heads_.end() ? "" : it->second.digest;
-  if (batch.sequence != last + 1 || batch.previous != expected) {
+  if (batch.sequence != last + 1 || batch.previous_digest != expected) {
     return Verdict::kBroken;
   }
   heads_[batch.writer] = Head{batch.sequence, digest, batch.wall};
--- a/src/transport/coordination_task.cpp
+++ b/src/transport/coordination_task.cpp
@@ -85,7 +85,7 @@
   task_.Stop();
 }
 
-bool CoordinationTask::DrainAndLeave(Millis deadline) {
+bool CoordinationTask::DrainAndRecordExit(Millis deadline) {
   constexpr auto kPollInterval = std::chrono::milliseconds(20);
   task_.PostAndWait([this] { coordinator_->Drain(); });
   bool exit_queued = false;
@@ -98,7 +98,7 @@
     }
     if (drained) {
       exit_queued = true;
-      task_.PostAndWait([this] { coordinator_->Leave(); });
+      task_.PostAndWait([this] { coordinator_->QueueExit(); });
     }
   }
   return false;
@@ -133,7 +133,8 @@
 
 void CoordinationTask::AppendRecord(const std::string& organisation,
                                     const Record& record) {
-  PostAndFlush([=, this](Millis) { coordinator_->Note(organisation, record); });
+  PostAndFlush(
+      [=, this](Millis) { coordinator_->AppendRecord(organisation, record); });
 }
 
 void CoordinationTask::CheckContent(uint64_t attempt,
@@ -158,7 +159,7 @@
 }
 
 void CoordinationTask::ReportEndpoints(
-    std::vector<EndpointNews> news,
+    std::vector<ProbeReport> news,
     std::vector<Placer::EndpointState> states,
     std::map<std::string, int> demand) {
   PostAndFlush([=, this](Millis) {
@@ -182,7 +183,8 @@
   last_tick_ = now;
   mesh_->FreeClosed();
   coordinator_->OnTick(now, WallNow());
-  for (const auto& [address, incarnation] : coordinator_->Silent(now)) {
+  for (const auto& [address, incarnation] :
+       coordinator_->UnresponsiveMembers(now)) {
     mesh_->CheckReachable(now, InstanceId{address, incarnation});
   }
   for (const auto& [address, peer] : coordinator_->membership().peers()) {
@@ -219,7 +221,7 @@
     mesh_->Drop(it);
     known_instances_.erase(it);
   }
-  for (const Outbox::Letter& it : coordinator_->TakeLetters()) {
+  for (const Outbox::Message& it : coordinator_->TakeMessages()) {
     const InstanceId* to = FindInstance(it.to);
     if (to != nullptr) {
       mesh_->Send(*to, it.message);
@@ -228,7 +230,7 @@
   for (const auto& [address, heartbeat] : coordinator_->TakeHeartbeats(now)) {
     mesh_->SendDatagram(address, heartbeat);
   }
-  for (Coordinator::AppendOrder& it :
+  for (Coordinator::StreamAppend& it :
        coordinator_->TakeAppends(now, WallNow())) {
     const std::string stream = it.stream;
     log_->Append(stream, it.payload, [this, stream](auto offset) {
@@ -245,7 +247,7 @@
 }
 
 void CoordinationTask::StartReads(Millis now) {
-  for (const auto& [stream, from] : coordinator_->Reads(now)) {
+  for (const auto& [stream, from] : coordinator_->StreamsToRead(now)) {
     if (!streams_being_read_.contains(stream) && now >= next_read_at_[stream]) {
       Read(stream, from);
     }
@@ -267,8 +269,8 @@
                                    page->entries.back().offset + 1 == page->end;
                coordinator_->OnLogEntries(now, stream, page->entries, at_end);
                Flush(now);
-               if (coordinator_->Reads(now).contains(stream)) {
-                 Read(stream, coordinator_->Reads(now).at(stream));
+               if (coordinator_->StreamsToRead(now).contains(stream)) {
+                 Read(stream, coordinator_->StreamsToRead(now).at(stream));
                }
              });
 }
--- a/src/transport/coordination_task.h
+++ b/src/transport/coordination_task.h
@@ -58,7 +58,7 @@
   //! Returns shares, settles charges and appends pending records and the exit
   //! record. False if that did not complete by `deadline`. Call from another
   //! thread.
-  bool DrainAndLeave(Millis deadline);
+  bool DrainAndRecordExit(Millis deadline);
 
   // Requests of the entry. Thread-safe.
   void Reserve(const ReserveRequest& request);
@@ -71,7 +71,7 @@
   void ReportContentEnd(uint64_t attempt,
                         const std::string& content,
                         bool succeeded);
-  void ReportEndpoints(std::vector<EndpointNews> news,
+  void ReportEndpoints(std::vector<ProbeReport> news,
                        std::vector<Placer::EndpointState> states,
                        std::map<std::string, int> demand);
 
--- a/src/transport/endpoint_prober.cpp
+++ b/src/transport/endpoint_prober.cpp
@@ -25,7 +25,7 @@
   if (!body.is_object()) {
     return out;
   }
-  out.health = body.value("leaving", false) ? EndpointHealth::kLeaving
+  out.health = body.value("leaving", false) ? EndpointHealth::kDraining
                                             : EndpointHealth::kUp;
   out.load = body.value("load", 0);
   out.boot_id = body.value("boot_id", "");
--- a/src/transport/entry_calls.cpp
+++ b/src/transport/entry_calls.cpp
@@ -126,7 +126,7 @@
                     ? 1
                     : 0;
   }
-  return endpoints_->Room(now, service) > admitted;
+  return endpoints_->FreeSlots(now, service) > admitted;
 }
 
 void EntryCalls::StartQueued(Millis now) {
@@ -250,7 +250,7 @@
     return;
   }
   const std::optional<EndpointObservation> last =
-      endpoints_->Last(action.endpoint);
+      endpoints_->LastObservation(action.endpoint);
   const std::string boot_id = last.has_value() ? last->boot_id : "";
   prober_->ProbeNow(
       now, *spec,
@@ -302,7 +302,7 @@
   coordination_->Withdraw(action.charge);
 }
 
-void EntryCalls::Act(EntryCall& call, const NoteRecord& action) {
+void EntryCalls::Act(EntryCall& call, const AppendRecord& action) {
   coordination_->AppendRecord(call.flow->spec().organisation, action.record);
 }
 
@@ -351,9 +351,9 @@
   }
   call.caller->SendCompleteAnswer(
       kHttpOk, "application/json",
-      WholeAnswer(call.flow->spec().key, call.model.model, call.text,
-                  call.charge.prompt_tokens, call.charge.completion_tokens,
-                  call.model.chat));
+      MakeCompleteAnswer(call.flow->spec().key, call.model.model, call.text,
+                         call.charge.prompt_tokens,
+                         call.charge.completion_tokens, call.model.chat));
 }
 
 // Events of endpoints and callers.
@@ -464,8 +464,9 @@
       Perform(*call, call->flow->OnTick(now));
     }
     const CallerStream& caller = *call->caller;
-    const bool slow = caller.pending_bytes() > 0 &&
-                      now >= caller.last_progress_at() + limits_.slow_reader;
+    const bool slow =
+        caller.pending_bytes() > 0 &&
+        now >= caller.last_progress_at() + limits_.slow_reader_timeout;
     if (slow) {
       Perform(*call, call->flow->OnCallerGone(now, ResultCode::kSlowReader));
       call->caller->Abort();
--- a/src/transport/entry_calls.h
+++ b/src/transport/entry_calls.h
@@ -83,7 +83,7 @@
   void Act(EntryCall& call, const ForwardChunk& action);
   void Act(EntryCall& call, const SettleCharge& action);
   void Act(EntryCall& call, const WithdrawCharge& action);
-  void Act(EntryCall& call, const NoteRecord& action);
+  void Act(EntryCall& call, const AppendRecord& action);
   void Act(EntryCall& call, const FinishRequest& action);
   void SendAnswer(EntryCall& call);
   void Forward(EntryCall& call, const std::string& data);
--- a/src/transport/entry_limits.h
+++ b/src/transport/entry_limits.h
@@ -19,7 +19,7 @@
   //! Unsent bytes of one stream above which reading from its endpoint pauses.
   size_t stream_buffer_bytes = 256 * 1024;
   //! Longest time in which no pending byte is written to the caller.
-  Millis slow_reader{15000};
+  Millis slow_reader_timeout{15000};
   Millis reserve_timeout{4500};
   Millis idle_timeout{30000};  //!< Longest gap between events.
   double retry_ratio = 0.1;
--- a/src/transport/entry_server.cpp
+++ b/src/transport/entry_server.cpp
@@ -301,7 +301,7 @@
   auto call = std::make_unique<EntryCall>();
   call->model = *std::move(parsed);
   FlowSpec spec;
-  spec.worst_case = call->model.prompt_bound + call->model.max_tokens;
+  spec.worst_case = call->model.max_prompt_tokens + call->model.max_tokens;
   spec.resumable = service->resumable;
   spec.content = ContentHash(service->name, call->model.body);
   Submit(message, *caller, *service, std::move(call), std::move(spec));
--- a/src/transport/entry_task.cpp
+++ b/src/transport/entry_task.cpp
@@ -120,15 +120,15 @@
   endpoints_.SetSpecs(specs);
 }
 
-void EntryTask::Handle(const NewsNotice& notice) {
+void EntryTask::Handle(const ProbeReportNotice& notice) {
   for (const EndpointObservation& it : notice.observations) {
     endpoints_.Observe(it);
   }
 }
 
-void EntryTask::Handle(const ProbeDuty& notice) {
+void EntryTask::Handle(const ProbeAssignment& notice) {
   assigned_endpoints_ = notice.endpoints;
-  endpoints_.SetSharers(notice.instances);
+  endpoints_.SetInstanceCount(notice.instances);
 }
 
 void EntryTask::Handle(const OrderNotice& notice) {
@@ -178,8 +178,9 @@
 void EntryTask::Report(Millis now) {
   std::vector<Placer::EndpointState> states = EndpointStates(now);
   std::map<std::string, int> demand = Demand(now, states);
-  coordination_->ReportEndpoints(endpoints_.News(now, assigned_endpoints_),
-                                 std::move(states), std::move(demand));
+  coordination_->ReportEndpoints(
+      endpoints_.ProbeReports(now, assigned_endpoints_), std::move(states),
+      std::move(demand));
   metrics_->Set("tamaracktrail_open_requests",
                 static_cast<double>(calls_.size()));
   metrics_->Set("tamaracktrail_queue_length",
@@ -198,7 +199,7 @@
     state.checks_fencing = spec.checks_fencing;
     state.up = endpoints_.Usable(now, spec.name);
     state.in_flight = endpoints_.InFlight(spec.name);
-    if (const auto last = endpoints_.Last(spec.name)) {
+    if (const auto last = endpoints_.LastObservation(spec.name)) {
       state.loaded = last->loaded;
       state.in_flight = std::max(state.in_flight, last->load);
     }
@@ -224,7 +225,7 @@
                      it.loaded.end();
         });
     // A service whose endpoints have no free slots needs one more copy.
-    const int extra_copies = endpoints_.Room(now, service) == 0 ? 1 : 0;
+    const int extra_copies = endpoints_.FreeSlots(now, service) == 0 ? 1 : 0;
     demand[name] = static_cast<int>(copies) + extra_copies;
   }
   return demand;
--- a/src/transport/entry_task.h
+++ b/src/transport/entry_task.h
@@ -65,8 +65,8 @@
   void Handle(const SettledNotice& notice) { calls_.Handle(notice); }
   void Handle(const ContentVerdict& notice) { calls_.Handle(notice); }
   void Handle(const CatalogNotice& notice);
-  void Handle(const NewsNotice& notice);
-  void Handle(const ProbeDuty& notice);
+  void Handle(const ProbeReportNotice& notice);
+  void Handle(const ProbeAssignment& notice);
   void Handle(const OrderNotice& notice);
   void Tick();
   void Report(Millis now);
--- a/src/transport/event_loop.cpp
+++ b/src/transport/event_loop.cpp
@@ -72,7 +72,7 @@
       << "event=watch_failed fd=" << fd;
 }
 
-void EventLoop::Rewatch(int fd, uint32_t events) {
+void EventLoop::UpdateWatch(int fd, uint32_t events) {
   const auto it = watched_.find(fd);
   CHECK(it != watched_.end()) << "event=not_watched fd=" << fd;
   epoll_event event{};
--- a/src/transport/event_loop.h
+++ b/src/transport/event_loop.h
@@ -39,7 +39,7 @@
   void Watch(int fd, uint32_t events, IoHandler* handler);
   //! Replaces the events of a watched descriptor. Precondition: `fd` is
   //! watched.
-  void Rewatch(int fd, uint32_t events);
+  void UpdateWatch(int fd, uint32_t events);
   void Unwatch(int fd);
 
   //! Calls `callback` once, after `delay`.
--- a/src/transport/internal/upstream_call.cpp
+++ b/src/transport/internal/upstream_call.cpp
@@ -71,8 +71,8 @@
 
   void Fail() {
     UpstreamEvent event;
-    event.kind =
-        sent ? UpstreamEvent::Kind::kCut : UpstreamEvent::Kind::kConnectFailed;
+    event.kind = sent ? UpstreamEvent::Kind::kConnectionLost
+                      : UpstreamEvent::Kind::kConnectFailed;
     End(std::move(event));
   }
 
--- a/src/transport/peer_exchange.cpp
+++ b/src/transport/peer_exchange.cpp
@@ -9,8 +9,8 @@
 #include "transport/event_loop.h"
 #include "transport/log_line.h"
 #include "transport/relay/caller_request.h"
+#include "transport/relay/fixed_answer_task.h"
 #include "transport/relay/http_fetch.h"
-#include "transport/relay/simple_task.h"
 
 namespace tamaracktrail {
 
@@ -54,18 +54,18 @@
             const Records records = !known   ? Records()
                                     : config ? hooks_.config()
                                              : hooks_.endpoints();
-            return std::make_unique<SimpleTask>(
+            return std::make_unique<FixedAnswerTask>(
                 connection, records.empty() ? 404 : 200, Encode(records));
           },
           metrics)) {}
 
 PeerExchange::~PeerExchange() = default;
 
-void PeerExchange::AskConfig(const std::string& peer) {
+void PeerExchange::FetchConfig(const std::string& peer) {
   Fetch(peer, kConfigPath, &config_fetch_, hooks_.on_config);
 }
 
-void PeerExchange::AskEndpoints(const std::string& peer) {
+void PeerExchange::FetchEndpoints(const std::string& peer) {
   Fetch(peer, kEndpointsPath, &endpoint_fetch_, hooks_.on_endpoints);
 }
 
--- a/src/transport/peer_exchange.h
+++ b/src/transport/peer_exchange.h
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-#include "transport/relay/endpoint_pool.h"
+#include "transport/relay/connection_pool.h"
 #include "transport/relay/relay_server.h"
 
 namespace tamaracktrail {
@@ -49,8 +49,8 @@
 
   //! Fetches the configuration or the endpoint directory of a peer ("ip:port"),
   //! unless a fetch of the same kind is in progress.
-  void AskConfig(const std::string& peer);
-  void AskEndpoints(const std::string& peer);
+  void FetchConfig(const std::string& peer);
+  void FetchEndpoints(const std::string& peer);
 
  private:
   void Fetch(const std::string& peer,
@@ -61,7 +61,7 @@
   EventLoop* loop_;
   EventLog* log_;
   Hooks hooks_;
-  EndpointPool pool_;
+  ConnectionPool pool_;
   std::unique_ptr<RelayServer> server_;
   std::unique_ptr<HttpFetch> config_fetch_;
   std::unique_ptr<HttpFetch> endpoint_fetch_;
--- a/src/transport/peer_gossip.h
+++ b/src/transport/peer_gossip.h
@@ -36,7 +36,7 @@
 
     //! Whether the reports agree in configuration version, loads and crashes;
     //! the directory's age is not compared.
-    bool SaysTheSame(const Report& other) const {
+    bool HasSameContent(const Report& other) const {
       return config_version == other.config_version && loads == other.loads &&
              crashes == other.crashes;
     }
--- a/src/transport/relay/caller_connection.cpp
+++ b/src/transport/relay/caller_connection.cpp
@@ -48,7 +48,7 @@
 void CallerConnection::OnReadable() {
   const size_t before = input_.size();
   const TcpStream::ReadResult result = stream_->Read(&input_, kReadBytes);
-  if (result == TcpStream::ReadResult::kEnd ||
+  if (result == TcpStream::ReadResult::kEndOfStream ||
       result == TcpStream::ReadResult::kFailed) {
     Close();
     return;
@@ -204,18 +204,18 @@
   waiting_since_ = loop_->Now();
   input_.clear();
   stream_->PauseReading(false);
-  if (stream_->pending() == 0) {
+  if (stream_->pending_bytes() == 0) {
     stream_->ShutDownWriting();
   }
 }
 
-void CallerConnection::BreakOff() {
+void CallerConnection::Abort() {
   stream_->Abort();
   server_->Defer(this, [this] { Close(); });
 }
 
 bool CallerConnection::congested() const {
-  return stream_->pending() > kCongestedBytes;
+  return stream_->pending_bytes() > kCongestedBytes;
 }
 
 void CallerConnection::OnDrained() {
@@ -241,7 +241,7 @@
 void CallerConnection::OnTick(Millis now) {
   const Millis waited = now - waiting_since_;
   if (phase_ == Phase::kLingering) {
-    if (waited > kLingerTime && stream_->pending() == 0) {
+    if (waited > kLingerTime && stream_->pending_bytes() == 0) {
       Close();
     }
   } else if (phase_ == Phase::kReading && request_begun_) {
--- a/src/transport/relay/caller_connection.h
+++ b/src/transport/relay/caller_connection.h
@@ -45,7 +45,7 @@
   void Answer(AnswerHead head, std::string_view body);
   //! Resets the connection, so that the caller can't take a partial answer for
   //! a complete one.
-  void BreakOff();
+  void Abort();
 
   //! Whether the caller reads so slowly that the source of the answer has to
   //! pause.
--- a/src/transport/relay/endpoint_pool.cpp
+++ b/src/transport/relay/connection_pool.cpp
@@ -1,4 +1,4 @@
-#include "transport/relay/endpoint_pool.h"
+#include "transport/relay/connection_pool.h"
 
 #include <algorithm>
 #include <string>
@@ -10,9 +10,9 @@
 namespace tamaracktrail {
 
 //! Watches one idle connection and removes it on any input or failure.
-class EndpointPool::Idle : public TcpStream::Observer {
+class ConnectionPool::Idle : public TcpStream::Observer {
  public:
-  Idle(EndpointPool* pool,
+  Idle(ConnectionPool* pool,
        uint64_t endpoint,
        std::unique_ptr<TcpStream> stream,
        Millis idle_since,
@@ -28,7 +28,7 @@
   void OnReadable() override {
     std::string buf;
     const auto result = stream_->Read(&buf, 1);
-    if (result != TcpStream::ReadResult::kNothing) {
+    if (result != TcpStream::ReadResult::kWouldBlock) {
       pool_->Remove(this, result == TcpStream::ReadResult::kFailed);
     }
   }
@@ -41,20 +41,20 @@
   std::unique_ptr<TcpStream> Release() { return std::move(stream_); }
 
  private:
-  EndpointPool* pool_;
+  ConnectionPool* pool_;
   uint64_t endpoint_;
   std::unique_ptr<TcpStream> stream_;
   Millis idle_since_;
   Millis expires_at_;
 };
 
-EndpointPool::EndpointPool(EventLoop* loop, BrokenCallback on_broken)
+ConnectionPool::ConnectionPool(EventLoop* loop, BrokenCallback on_broken)
     : loop_(loop), on_broken_(std::move(on_broken)) {}
 
-EndpointPool::~EndpointPool() = default;
+ConnectionPool::~ConnectionPool() = default;
 
-std::unique_ptr<TcpStream> EndpointPool::Take(uint64_t endpoint,
-                                              Millis max_idle) {
+std::unique_ptr<TcpStream> ConnectionPool::Take(uint64_t endpoint,
+                                                Millis max_idle) {
   const auto it = idle_.find(endpoint);
   if (it == idle_.end()) {
     return nullptr;
@@ -78,15 +78,15 @@
   return stream;
 }
 
-void EndpointPool::Put(uint64_t endpoint,
-                       std::unique_ptr<TcpStream> stream,
-                       Millis keep_alive) {
+void ConnectionPool::Put(uint64_t endpoint,
+                         std::unique_ptr<TcpStream> stream,
+                         Millis keep_alive) {
   const Millis now = loop_->Now();
   idle_[endpoint].push_back(std::make_unique<Idle>(
       this, endpoint, std::move(stream), now, now + keep_alive));
 }
 
-void EndpointPool::OnTick() {
+void ConnectionPool::OnTick() {
   const Millis now = loop_->Now();
   for (auto it = idle_.begin(); it != idle_.end();) {
     std::erase_if(it->second,
@@ -95,7 +95,7 @@
   }
 }
 
-void EndpointPool::Remove(Idle* idle, bool broken) {
+void ConnectionPool::Remove(Idle* idle, bool broken) {
   const uint64_t endpoint = idle->endpoint();
   const auto it = idle_.find(endpoint);
   if (it != idle_.end()) {
@@ -110,7 +110,7 @@
   }
 }
 
-size_t EndpointPool::size() const {
+size_t ConnectionPool::size() const {
   size_t n = 0;
   for (const auto& [endpoint, idle] : idle_) {
     n += idle.size();
--- a/src/transport/relay/endpoint_pool.h
+++ b/src/transport/relay/connection_pool.h
@@ -1,5 +1,5 @@
-#ifndef TRANSPORT_RELAY_ENDPOINT_POOL_H_
-#define TRANSPORT_RELAY_ENDPOINT_POOL_H_
+#ifndef TRANSPORT_RELAY_CONNECTION_POOL_H_
+#define TRANSPORT_RELAY_CONNECTION_POOL_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -19,16 +19,16 @@
 //!
 //! An idle connection on which bytes, the end of the stream or an error arrive
 //! is closed, as bytes without a request belong to no answer. Not thread-safe.
-class EndpointPool {
+class ConnectionPool {
  public:
   using BrokenCallback = std::function<void(uint64_t endpoint)>;
 
   //! `on_broken` is called for each idle connection that failed.
-  EndpointPool(EventLoop* loop, BrokenCallback on_broken);
-  ~EndpointPool();
+  ConnectionPool(EventLoop* loop, BrokenCallback on_broken);
+  ~ConnectionPool();
 
-  EndpointPool(const EndpointPool&) = delete;
-  EndpointPool& operator=(const EndpointPool&) = delete;
+  ConnectionPool(const ConnectionPool&) = delete;
+  ConnectionPool& operator=(const ConnectionPool&) = delete;
 
   //! Returns the most recently used connection if it was idle for at most
   //! `max_idle`, or nullptr.
@@ -57,4 +57,4 @@
 
 }  // namespace tamaracktrail
 
-#endif  // TRANSPORT_RELAY_ENDPOINT_POOL_H_
+#endif  // TRANSPORT_RELAY_CONNECTION_POOL_H_
--- a/src/transport/relay/endpoint_call.cpp
+++ b/src/transport/relay/endpoint_call.cpp
@@ -6,7 +6,7 @@
 #include "absl/strings/numbers.h"
 #include "protocol/http_reader.h"
 #include "protocol/text.h"
-#include "transport/relay/endpoint_pool.h"
+#include "transport/relay/connection_pool.h"
 
 namespace tamaracktrail {
 
@@ -47,7 +47,7 @@
 }  // namespace
 
 EndpointCall::EndpointCall(EventLoop* loop,
-                           EndpointPool* pool,
+                           ConnectionPool* pool,
                            Options options,
                            Observer* observer)
     : loop_(loop),
@@ -126,7 +126,7 @@
 
 bool EndpointCall::ReadOnce(bool* ended) {
   switch (stream_->Read(&input_, kReadBytes)) {
-    case TcpStream::ReadResult::kEnd:
+    case TcpStream::ReadResult::kEndOfStream:
       *ended = true;
       return true;
     case TcpStream::ReadResult::kFailed:
@@ -198,7 +198,7 @@
 void EndpointCall::FinishAnswer() {
   // The connection can't be reused if bytes follow the answer, or if the
   // request has not been sent completely.
-  const bool reusable = input_.empty() && stream_->pending() == 0 &&
+  const bool reusable = input_.empty() && stream_->pending_bytes() == 0 &&
                         !saw_mismatched_answer_ && reader_->keep_alive() &&
                         !reader_->ends_with_connection();
   if (reusable) {
--- a/src/transport/relay/endpoint_call.h
+++ b/src/transport/relay/endpoint_call.h
@@ -12,7 +12,7 @@
 
 namespace tamaracktrail {
 
-class EndpointPool;
+class ConnectionPool;
 class HttpReader;
 
 //! One HTTP exchange with an endpoint: connects or reuses an idle connection,
@@ -54,7 +54,7 @@
 
   //! Precondition: loop, pool and observer outlive the call.
   EndpointCall(EventLoop* loop,
-               EndpointPool* pool,
+               ConnectionPool* pool,
                Options options,
                Observer* observer);
   ~EndpointCall() override;
@@ -88,7 +88,7 @@
   void Fail(const absl::Status& status);
 
   EventLoop* loop_;
-  EndpointPool* pool_;
+  ConnectionPool* pool_;
   Options options_;
   Observer* observer_;
   std::unique_ptr<TcpStream> stream_;
--- a/src/transport/relay/simple_task.h
+++ b/src/transport/relay/fixed_answer_task.h
@@ -1,5 +1,5 @@
-#ifndef TRANSPORT_RELAY_SIMPLE_TASK_H_
-#define TRANSPORT_RELAY_SIMPLE_TASK_H_
+#ifndef TRANSPORT_RELAY_FIXED_ANSWER_TASK_H_
+#define TRANSPORT_RELAY_FIXED_ANSWER_TASK_H_
 
 #include <string>
 #include <utility>
@@ -11,10 +11,10 @@
 namespace tamaracktrail {
 
 //! Answers a request immediately with a fixed status and body. Not thread-safe.
-class SimpleTask : public RequestTask {
+class FixedAnswerTask : public RequestTask {
  public:
   //! Precondition: the connection outlives the task.
-  SimpleTask(CallerConnection* connection, int status, std::string body)
+  FixedAnswerTask(CallerConnection* connection, int status, std::string body)
       : connection_(connection), status_(status), body_(std::move(body)) {}
 
   void Start() override {
@@ -35,4 +35,4 @@
 
 }  // namespace tamaracktrail
 
-#endif  // TRANSPORT_RELAY_SIMPLE_TASK_H_
+#endif  // TRANSPORT_RELAY_FIXED_ANSWER_TASK_H_
--- a/src/transport/relay/http_fetch.cpp
+++ b/src/transport/relay/http_fetch.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 HttpFetch::HttpFetch(EventLoop* loop,
-                     EndpointPool* pool,
+                     ConnectionPool* pool,
                      const std::string& address,
                      const std::string& method,
                      const std::string& target,
--- a/src/transport/relay/http_fetch.h
+++ b/src/transport/relay/http_fetch.h
@@ -12,7 +12,7 @@
 
 namespace tamaracktrail {
 
-class EndpointPool;
+class ConnectionPool;
 
 //! One HTTP call that buffers the complete answer in memory; meant for small
 //! answers. Destroying it cancels the call. Not thread-safe.
@@ -29,7 +29,7 @@
   //! the fetch. Errors: DeadlineExceeded after `timeout`, Unavailable if the
   //! call failed. Precondition: loop and pool outlive the fetch.
   HttpFetch(EventLoop* loop,
-            EndpointPool* pool,
+            ConnectionPool* pool,
             const std::string& address,
             const std::string& method,
             const std::string& target,
--- a/src/transport/relay/relay_context.cpp
+++ b/src/transport/relay/relay_context.cpp
@@ -32,7 +32,7 @@
       dialect(std::move(call_dialect)),
       options(std::move(deployment)),
       prefix_cache_index(kPrefixIndexCapacity),
-      placement(&board, &prefix_cache_index, options.data_centre),
+      placement(&registry, &prefix_cache_index, options.data_centre),
       shares({options.instance, options.incarnation, options.boot}),
       pool(event_loop,
            [this](uint64_t endpoint) {
--- a/src/transport/relay/relay_context.h
+++ b/src/transport/relay/relay_context.h
@@ -11,15 +11,15 @@
 
 #include "coordination/budget_shares.h"
 #include "coordination/crash_guard.h"
-#include "coordination/endpoint_board.h"
+#include "coordination/endpoint_registry.h"
 #include "coordination/link_congestion.h"
 #include "coordination/placement.h"
-#include "coordination/prefix_memory.h"
+#include "coordination/prefix_cache_index.h"
 #include "coordination/retry_budget.h"
 #include "coordination/share_outage.h"
 #include "protocol/call_dialect.h"
 #include "state/millis.h"
-#include "transport/relay/endpoint_pool.h"
+#include "transport/relay/connection_pool.h"
 
 namespace tamaracktrail {
 
@@ -53,9 +53,7 @@
   void SetConfig(std::shared_ptr<const RoutingConfig> next);
 
   //! Whether callers are sent to other instances.
-  bool SendsCallersElsewhere() const {
-    return outage.active() || congestion.active();
-  }
+  bool DivertsCallers() const { return outage.active() || congestion.active(); }
 
   //! Number of instances that share the budgets and the retry budget.
   void SetInstances(int n);
@@ -77,26 +75,26 @@
   CallDialect dialect;
   Options options;
   std::shared_ptr<const RoutingConfig> config;
-  EndpointBoard board;
-  PrefixMemory prefix_cache_index;
+  EndpointRegistry registry;
+  PrefixCacheIndex prefix_cache_index;
   Placement placement;
   BudgetShares shares;
   ShareOutage outage;
   LinkCongestion congestion;
   CrashGuard crashes;
-  EndpointPool pool;
+  ConnectionPool pool;
   std::mt19937_64 random;
   int instances = 1;
   std::map<std::string, RetryBudget> retry_budgets;
   std::set<RelayTask*> waiting_for_share;
   //! During shutdown, no stream is admitted after `last_stream_at`, and all
   //! answers have to be complete by `ends_at`. 0 before the shutdown.
-  Millis last_stream_at;
-  Millis ends_at;
+  Millis stream_admission_end;
+  Millis exit_deadline;
   //! False while the log cannot be reached, so that shares cannot grow.
   std::function<bool()> shares_can_grow = [] { return true; };
   //! Called when a share is insufficient for a request.
-  std::function<void()> on_share_short = [] {};
+  std::function<void()> on_share_insufficient = [] {};
 };
 
 }  // namespace tamaracktrail
--- a/src/transport/relay/relay_server.cpp
+++ b/src/transport/relay/relay_server.cpp
@@ -85,7 +85,7 @@
   tick_ = loop_->After(kTimeoutCheckInterval, [this] { Tick(); });
 }
 
-size_t RelayServer::busy() const {
+size_t RelayServer::open_requests() const {
   return static_cast<size_t>(
       std::count_if(connections_.begin(), connections_.end(),
                     [](const auto& it) { return it.second->busy(); }));
--- a/src/transport/relay/relay_server.h
+++ b/src/transport/relay/relay_server.h
@@ -42,7 +42,7 @@
   void StopAccepting();
 
   //! Number of requests in progress.
-  size_t busy() const;
+  size_t open_requests() const;
   size_t connections() const { return connections_.size(); }
 
   // Called by the connections:
--- a/src/transport/relay/relay_task.cpp
+++ b/src/transport/relay/relay_task.cpp
@@ -71,7 +71,7 @@
     LogEnd(0, "caller_left", "connection closed by the caller");
   }
   if (ticket_) {
-    context_->board.OnAbandoned(&*ticket_);
+    context_->registry.OnAbandoned(&*ticket_);
   }
   SettleReservation();
   context_->waiting_for_share.erase(this);
@@ -97,10 +97,10 @@
     return;
   }
   const Millis now = context_->loop->Now();
-  const int64_t max_tokens = prompt_->most_tokens();
+  const int64_t max_tokens = prompt_->max_tokens();
   const auto verdict =
       context_->shares.Reserve(now, organisation_->name, max_tokens);
-  if (verdict == BudgetShares::Verdict::kShort) {
+  if (verdict == BudgetShares::Verdict::kInsufficient) {
     if (!context_->shares_can_grow() || share_polls_ >= kMaxSharePolls ||
         context_->shares.IsExhausted(now, organisation_->name, max_tokens)) {
       RefuseForShare();
@@ -109,12 +109,13 @@
     if (!waiting_for_share_) {
       waiting_for_share_ = true;
       context_->waiting_for_share.insert(this);
-      const Millis wait = std::min(
-          {kMaxShareWait, route_->objective.Scaled(kMaxShareWaitFraction),
-           Remaining()});
+      const Millis wait =
+          std::min({kMaxShareWait,
+                    route_->latency_objective.Scaled(kMaxShareWaitFraction),
+                    Remaining()});
       share_wait_timer_ =
           context_->loop->After(wait, [this] { RefuseForShare(); });
-      context_->on_share_short();
+      context_->on_share_insufficient();
     }
     return;
   }
@@ -137,7 +138,7 @@
   context_->waiting_for_share.erase(this);
   context_->loop->Cancel(&share_wait_timer_);
   waiting_for_share_ = false;
-  const int64_t max_tokens = prompt_->most_tokens();
+  const int64_t max_tokens = prompt_->max_tokens();
   if (context_->shares.IsExhausted(context_->loop->Now(), organisation_->name,
                                    max_tokens)) {
     Fail(402, "Payment Required", "budget_exhausted");
@@ -146,14 +147,14 @@
   const Millis now = context_->loop->Now();
   context_->outage.OnRefused(now);
   const BudgetShares::View view =
-      context_->shares.Look(now, organisation_->name);
+      context_->shares.GetView(now, organisation_->name);
   LogLine(context_->log, "share_short")
       .Add("id", request_id_)
       .Add("organisation", organisation_->name)
       .Add("asked", max_tokens)
       .Add("available", view.available)
       .Add("held", view.held)
-      .Add("undrawn", view.undrawn)
+      .Add("undrawn", view.unclaimed)
       .Add("log_age_ms", view.log_age)
       .Add("lost", context_->shares_can_grow() ? 0 : 1);
   Refuse("no_share", kNoShareRetryAfter);
@@ -170,7 +171,7 @@
   Placement::Request placement_request;
   placement_request.service = service_;
   placement_request.prompt = prompt_ ? &*prompt_ : nullptr;
-  placement_request.chain = &prefix_hashes_;
+  placement_request.prefix_hashes = &prefix_hashes_;
   placement_request.tried = &tried_endpoints_;
   const auto choice = context_->placement.Choose(now, placement_request,
                                                  context_->RandomFraction());
@@ -182,12 +183,13 @@
     }
     return;
   }
-  const EndpointState* state = context_->board.Find(choice->id, choice->born);
+  const EndpointState* state =
+      context_->registry.Find(choice->id, choice->start_unix_ms);
   CHECK(state != nullptr) << "event=chosen_endpoint_unknown";
-  const Millis limit =
-      std::min(Remaining(), route_->patience.Scaled(kEventTimeoutFraction));
+  const Millis limit = std::min(
+      Remaining(), route_->event_timeout.Scaled(kEventTimeoutFraction));
   if (!head_sent_ && !may_have_run_ && choice->predicted > limit) {
-    Refuse("overloaded", choice->predicted - route_->objective);
+    Refuse("overloaded", choice->predicted - route_->latency_objective);
     return;
   }
   Send(*choice, *state);
@@ -196,7 +198,7 @@
 void RelayTask::Send(const Placement::Choice& choice,
                      const EndpointState& state) {
   const Millis now = context_->loop->Now();
-  tried_endpoints_.insert(choice.hash);
+  tried_endpoints_.insert(choice.incarnation_hash);
   ++connection_attempts_;
   LogLine(context_->log, "send")
       .Add("id", request_id_)
@@ -204,16 +206,17 @@
       .Add("service", service_->name)
       .Add("config", config_->version())
       .Add("predicted_ms", choice.predicted)
-      .Add("to_read", choice.prompt_tokens)
-      .Add("queued", state.prompt_tokens())
+      .Add("to_read", choice.uncached_tokens)
+      .Add("queued", state.uncached_tokens())
       .Add("open", state.open())
       .Add("fetch_from", choice.fetch_from)
       .Add("left_ms", Remaining());
-  ticket_ = context_->board.OnSent(now, state, choice.prompt_tokens,
-                                   choice.predicted);
-  context_->prefix_cache_index.OnRead(now, prefix_hashes_, choice.hash);
+  ticket_ = context_->registry.OnSent(now, state, choice.uncached_tokens,
+                                      choice.predicted);
+  context_->prefix_cache_index.OnPromptSent(now, prefix_hashes_,
+                                            choice.incarnation_hash);
   EndpointCall::Options options;
-  options.endpoint = choice.hash;
+  options.endpoint = choice.incarnation_hash;
   options.address = choice.address;
   options.expects_body = request_.method != "HEAD";
   options.connect_timeout = std::min(kConnectTimeout, Remaining());
@@ -264,8 +267,8 @@
                     "\r\n");
   }
   if (head_sent_) {
-    absl::StrAppend(&head, dialect.last_event_id, ": ", splitter_.last_id(),
-                    "\r\n");
+    absl::StrAppend(&head, dialect.last_event_id, ": ",
+                    splitter_.last_event_id(), "\r\n");
   }
   const bool framed = !request_.body->empty() ||
                       request_.fields.Count("Content-Length") > 0 ||
@@ -301,9 +304,9 @@
     ++progress.sends;
     progress.may_have_run = true;
   }
-  const NextStep step = StepAfterAttempt(progress, AttemptOutcome::kSilent);
+  const NextStep step = StepAfterAttempt(progress, AttemptOutcome::kTimedOut);
   if (step == NextStep::kTryAnother || step == NextStep::kResume) {
-    FinishAttempt(AttemptOutcome::kSilent, "no answer in time");
+    FinishAttempt(AttemptOutcome::kTimedOut, "no answer in time");
   }
 }
 
@@ -313,17 +316,17 @@
   progress.resumable = route_->resumable;
   progress.max_attempts = route_->max_attempts;
   progress.sends = sends_;
-  progress.dials = connection_attempts_;
+  progress.connection_attempts = connection_attempts_;
   progress.may_have_run = may_have_run_;
   progress.head_sent = head_sent_;
-  progress.event_sent = splitter_.count() > 0;
+  progress.event_sent = splitter_.event_count() > 0;
   progress.retry_allowed = context_->RetryBudgetFor(service_->name).HasRetry();
   progress.crashes_endpoints = context_->crashes.IsSuspect(content_hash_);
   const auto usable =
-      context_->board.Usable(context_->loop->Now(), service_->name);
-  progress.endpoint_left =
+      context_->registry.Usable(context_->loop->Now(), service_->name);
+  progress.has_untried_endpoint =
       std::any_of(usable.begin(), usable.end(), [&](const EndpointState* it) {
-        return !tried_endpoints_.contains(it->hash);
+        return !tried_endpoints_.contains(it->incarnation_hash);
       });
   progress.remaining = Remaining();
   return progress;
@@ -343,11 +346,12 @@
   context_->congestion.OnAttempt(context_->loop->Now(),
                                  outcome == AttemptOutcome::kNotSent);
   if (outcome == AttemptOutcome::kBroken && ticket_) {
-    context_->crashes.OnBroken(context_->loop->Now(), content_hash_,
-                               ticket_->hash);
+    context_->crashes.OnConnectionLost(context_->loop->Now(), content_hash_,
+                                       ticket_->incarnation_hash);
   }
   if (outcome == AttemptOutcome::kNotSent && ticket_) {
-    context_->crashes.OnEndpointDown(context_->loop->Now(), ticket_->hash);
+    context_->crashes.OnEndpointDown(context_->loop->Now(),
+                                     ticket_->incarnation_hash);
   }
   if (outcome != AttemptOutcome::kAnswered) {
     context_->metrics->Count(absl::StrCat("attempts_failed_total{outcome=\"",
@@ -358,7 +362,7 @@
         .Add("outcome", static_cast<int>(outcome))
         .AddQuoted("reason", reason)
         .Add("sent", sent)
-        .Add("events", splitter_.count());
+        .Add("events", splitter_.event_count());
   }
   ReportOutcome(outcome);
   call_.reset();
@@ -369,7 +373,7 @@
   if (!ticket_) {
     return;
   }
-  EndpointOutcome health = EndpointOutcome::kGood;
+  EndpointOutcome health = EndpointOutcome::kAnswered;
   switch (outcome) {
     case AttemptOutcome::kAnswered:
       break;
@@ -380,17 +384,17 @@
       health = EndpointOutcome::kOverloaded;
       break;
     case AttemptOutcome::kMisdirected:
-      health = EndpointOutcome::kGone;
+      health = EndpointOutcome::kMisdirected;
       break;
     case AttemptOutcome::kFailed:
       health = EndpointOutcome::kFailed;
       break;
     case AttemptOutcome::kBroken:
-    case AttemptOutcome::kSilent:
+    case AttemptOutcome::kTimedOut:
       health = EndpointOutcome::kLost;
       break;
   }
-  context_->board.OnEnded(context_->loop->Now(), &*ticket_, health);
+  context_->registry.OnEnded(context_->loop->Now(), &*ticket_, health);
   ticket_.reset();
 }
 
@@ -415,7 +419,7 @@
       return;
     case NextStep::kRefuse:
       Refuse("endpoint_refused", outcome == AttemptOutcome::kRefused
-                                     ? route_->objective.Scaled(0.5)
+                                     ? route_->latency_objective.Scaled(0.5)
                                      : kMinRetryAfter);
       return;
     case NextStep::kBadGateway:
@@ -424,7 +428,7 @@
     case NextStep::kTimeOut:
       Fail(504, "Gateway Timeout", "endpoint_silent");
       return;
-    case NextStep::kBreakOff:
+    case NextStep::kAbort:
       AbortAnswer("endpoint_broke_off");
       return;
     case NextStep::kDrop:
--- a/src/transport/relay/relay_task.h
+++ b/src/transport/relay/relay_task.h
@@ -10,12 +10,12 @@
 #include <vector>
 
 #include "coordination/attempt_outcome.h"
-#include "coordination/endpoint_board.h"
+#include "coordination/endpoint_registry.h"
 #include "coordination/endpoint_ticket.h"
 #include "coordination/placement.h"
 #include "coordination/prompt_shape.h"
 #include "coordination/request_progress.h"
-#include "protocol/event_cutter.h"
+#include "protocol/sse_splitter.h"
 #include "state/millis.h"
 #include "transport/event_loop.h"
 #include "transport/relay/answer_head.h"
@@ -133,7 +133,7 @@
   bool head_sent_ = false;
   bool delivered_ = false;  //!< A 2xx answer was sent from the buffer.
   bool raw_ = false;        //!< The answer is not an event stream.
-  EventCutter splitter_;
+  SseSplitter splitter_;
   Millis first_event_at_;
   Millis last_event_at_;
   Millis longest_event_gap_;  //!< Between two events of the stream.
--- a/src/transport/relay/relay_task_admission.cpp
+++ b/src/transport/relay/relay_task_admission.cpp
@@ -36,7 +36,7 @@
     Fail(401, "Unauthorized", "unknown_key");
     return false;
   }
-  if (context_->ends_at > Millis(0) && !CanFinishBeforeExit()) {
+  if (context_->exit_deadline > Millis(0) && !CanFinishBeforeExit()) {
     Refuse("draining", kMinRetryAfter);
     return false;
   }
@@ -53,8 +53,8 @@
 bool RelayTask::CanFinishBeforeExit() const {
   const Millis now = context_->loop->Now();
   return route_->kind == CallKind::kStream
-             ? now <= context_->last_stream_at
-             : now + route_->timeout <= context_->ends_at;
+             ? now <= context_->stream_admission_end
+             : now + route_->timeout <= context_->exit_deadline;
 }
 
 bool RelayTask::FindOrganisation() {
@@ -65,7 +65,8 @@
   const auto field = request_.fields.Find("Authorization");
   if (field && request_.fields.Count("Authorization") == 1 &&
       EqualsIgnoringCase(field->substr(0, 7), "Bearer ")) {
-    organisation_ = config_->FindByKey(std::string(field->substr(7)));
+    organisation_ =
+        config_->FindOrganisationByKey(std::string(field->substr(7)));
   }
   if (organisation_ != nullptr) {
     // The organisation's priority precedes the route's priority.
@@ -78,11 +79,11 @@
 
 bool RelayTask::AdmitToService() {
   int total = 0;
-  for (const Route::Part& it : route_->split) {
+  for (const Route::WeightedService& it : route_->weighted_services) {
     total += std::max(0, it.weight);
   }
   int remaining_weight = static_cast<int>(context_->RandomFraction() * total);
-  for (const Route::Part& it : route_->split) {
+  for (const Route::WeightedService& it : route_->weighted_services) {
     service_ = config_->FindService(it.service);
     remaining_weight -= it.weight;
     if (remaining_weight < 0) {
@@ -94,9 +95,9 @@
     return false;
   }
   context_->RetryBudgetFor(service_->name).OnRequest();
-  prompt_ = context_->dialect.read_prompt(request_.fields);
+  prompt_ = context_->dialect.parse_prompt(request_.fields);
   if (prompt_) {
-    prefix_hashes_ = PrefixMemory::Chain(prompt_->parts);
+    prefix_hashes_ = PrefixCacheIndex::HashPrefixes(prompt_->parts);
   }
   content_hash_ = StableHash(
       *request_.body,
--- a/src/transport/relay/relay_task_answers.cpp
+++ b/src/transport/relay/relay_task_answers.cpp
@@ -62,7 +62,7 @@
   }
   answer_outcome_ = Classify(answer);
   if (ticket_) {
-    context_->board.OnFirstByte(context_->loop->Now(), &*ticket_);
+    context_->registry.OnFirstByte(context_->loop->Now(), &*ticket_);
   }
   context_->loop->Cancel(&first_byte_timer_);
   if (head_sent_) {
@@ -153,7 +153,7 @@
 void RelayTask::DeliverBuffered() {
   finished_ = true;
   delivered_ = answer_.status / 100 == 2;
-  buffered_ += splitter_.TakeRest();
+  buffered_ += splitter_.TakeIncompleteEvent();
   context_->loop->Cancel(&deadline_timer_);
   LogEnd(answer_.status, "delivered", "");
   connection_->Answer(answer_, buffered_);
@@ -162,7 +162,7 @@
 void RelayTask::EndStream() {
   finished_ = true;
   context_->loop->Cancel(&deadline_timer_);
-  connection_->WriteBody(splitter_.TakeRest());
+  connection_->WriteBody(splitter_.TakeIncompleteEvent());
   LogEnd(answer_.status, "delivered", "");
   connection_->EndAnswer();
 }
@@ -195,7 +195,7 @@
   if (!request_id_.empty()) {
     head.fields.Add(context_->dialect.request_id, request_id_);
   }
-  head.close_connection = context_->SendsCallersElsewhere();
+  head.close_connection = context_->DivertsCallers();
   LogEnd(503, "refused", reason);
   connection_->Answer(head, "");
 }
@@ -219,7 +219,7 @@
   call_.reset();
   context_->loop->Cancel(&deadline_timer_);
   LogEnd(0, "broken_off", reason);
-  connection_->BreakOff();
+  connection_->Abort();
 }
 
 void RelayTask::OnDeadline() {
@@ -227,9 +227,9 @@
   may_have_run_ = may_have_run_ || open;
   if (ticket_) {
     if (!ticket_->answered) {
-      ReportOutcome(AttemptOutcome::kSilent);
+      ReportOutcome(AttemptOutcome::kTimedOut);
     } else {
-      context_->board.OnAbandoned(&*ticket_);
+      context_->registry.OnAbandoned(&*ticket_);
       ticket_.reset();
     }
   }
@@ -237,7 +237,7 @@
   context_->waiting_for_share.erase(this);
   context_->loop->Cancel(&share_wait_timer_);
   switch (StepAtTimeout(Progress(), open)) {
-    case NextStep::kBreakOff:
+    case NextStep::kAbort:
       AbortAnswer("time_up");
       return;
     case NextStep::kRefuse:
@@ -260,9 +260,9 @@
   int64_t spent = 0;
   if (head_sent_ || delivered_) {
     const int64_t output =
-        service_->event_tokens > 0 && !raw_
+        service_->tokens_per_event > 0 && !raw_
             ? std::min(prompt_->max_output_tokens,
-                       splitter_.count() * service_->event_tokens)
+                       splitter_.event_count() * service_->tokens_per_event)
             : prompt_->max_output_tokens;
     spent = prompt_->prompt_tokens + output;
   }
@@ -272,7 +272,7 @@
       .Add("reserved", reserved_)
       .Add("spent", spent)
       .Add("left_in_share",
-           context_->shares.Look(context_->loop->Now(), organisation_->name)
+           context_->shares.GetView(context_->loop->Now(), organisation_->name)
                .available);
   context_->shares.Settle(organisation_->name, reserved_, spent);
   reserved_ = 0;
@@ -303,7 +303,7 @@
       .Add("config", config_ ? config_->version() : 0)
       .Add("ms", now - request_.first_byte_at)
       .Add("sends", sends_)
-      .Add("events", splitter_.count());
+      .Add("events", splitter_.event_count());
   if (first_event_at_ > Millis(0)) {
     line.Add("first_event_ms", first_event_at_ - request_.first_byte_at)
         .Add("longest_pause_ms", longest_event_gap_);
--- a/src/transport/tcp_stream.cpp
+++ b/src/transport/tcp_stream.cpp
@@ -88,9 +88,9 @@
     return ReadResult::kData;
   }
   if (n == 0) {
-    return ReadResult::kEnd;
+    return ReadResult::kEndOfStream;
   }
-  return errno == EAGAIN || errno == EINTR ? ReadResult::kNothing
+  return errno == EAGAIN || errno == EINTR ? ReadResult::kWouldBlock
                                            : ReadResult::kFailed;
 }
 
@@ -99,7 +99,7 @@
 }
 
 void TcpStream::Flush() {
-  if (fd_ >= 0 && connected_ && !write_blocked_ && pending() > 0) {
+  if (fd_ >= 0 && connected_ && !write_blocked_ && pending_bytes() > 0) {
     // A failed send is ignored here: the kernel reports it as an event too, so
     // that the observer is notified by the loop and not within its own call.
     SendPending();
@@ -108,7 +108,7 @@
 }
 
 bool TcpStream::SendPending() {
-  while (pending() > 0) {
+  while (pending_bytes() > 0) {
     const ssize_t n = send(fd_, output_.data() + output_sent_,
                            output_.size() - output_sent_, MSG_NOSIGNAL);
     if (n < 0) {
@@ -117,7 +117,7 @@
     }
     output_sent_ += static_cast<size_t>(n);
     bytes_sent_ += static_cast<uint64_t>(n);
-    if (pending() > 0) {
+    if (pending_bytes() > 0) {
       write_blocked_ = true;
       return true;
     }
@@ -159,7 +159,7 @@
                               : uint32_t{EPOLLOUT};
   if (wanted != watched_events_) {
     watched_events_ = wanted;
-    loop_->Rewatch(fd_, watched_events_);
+    loop_->UpdateWatch(fd_, watched_events_);
   }
 }
 
@@ -191,7 +191,7 @@
       return;
     }
     UpdateEvents();
-    if (pending() == 0) {
+    if (pending_bytes() == 0) {
       // Read readiness is level-triggered and is reported again.
       observer_->OnDrained();
       return;
--- a/src/transport/tcp_stream.h
+++ b/src/transport/tcp_stream.h
@@ -40,7 +40,7 @@
   };
 
   //! Result of one `Read`.
-  enum class ReadResult { kData, kNothing, kEnd, kFailed };
+  enum class ReadResult { kData, kWouldBlock, kEndOfStream, kFailed };
 
   //! Takes ownership of an accepted descriptor.
   static std::unique_ptr<TcpStream> Adopt(EventLoop* loop,
@@ -85,7 +85,7 @@
   void Abort();
 
   //! Buffered bytes that are not yet handed to the kernel.
-  size_t pending() const { return output_.size() - output_sent_; }
+  size_t pending_bytes() const { return output_.size() - output_sent_; }
   //! Bytes handed to the kernel since the stream was created.
   uint64_t bytes_sent() const { return bytes_sent_; }
   bool connected() const { return connected_; }
--- a/tests/coordination/attempt_rules_test.cpp
+++ b/tests/coordination/attempt_rules_test.cpp
@@ -17,9 +17,9 @@
   progress.resumable = resumable;
   progress.max_attempts = 2;
   progress.sends = 1;
-  progress.dials = 1;
+  progress.connection_attempts = 1;
   progress.retry_allowed = true;
-  progress.endpoint_left = true;
+  progress.has_untried_endpoint = true;
   progress.remaining = Millis(1000);
   return progress;
 }
@@ -42,7 +42,7 @@
 
 TEST(AttemptRulesTest, RequestThatMayHaveRunIsSentAgainOnlyIfRepeatable) {
   for (const AttemptOutcome outcome :
-       {AttemptOutcome::kBroken, AttemptOutcome::kSilent}) {
+       {AttemptOutcome::kBroken, AttemptOutcome::kTimedOut}) {
     EXPECT_NE(StepAfterAttempt(Ran(Start(CallKind::kUnsafe)), outcome),
               NextStep::kTryAnother);
     EXPECT_NE(StepAfterAttempt(Ran(Start(CallKind::kStream)), outcome),
@@ -61,7 +61,7 @@
   for (const AttemptOutcome outcome :
        {AttemptOutcome::kNotSent, AttemptOutcome::kRefused,
         AttemptOutcome::kMisdirected, AttemptOutcome::kBroken,
-        AttemptOutcome::kSilent}) {
+        AttemptOutcome::kTimedOut}) {
     EXPECT_NE(StepAfterAttempt(progress, outcome), NextStep::kRefuse);
   }
   EXPECT_NE(StepAtTimeout(progress, false), NextStep::kRefuse);
@@ -74,7 +74,7 @@
   RequestProgress no_budget = base;
   no_budget.retry_allowed = false;
   RequestProgress no_other_endpoint = base;
-  no_other_endpoint.endpoint_left = false;
+  no_other_endpoint.has_untried_endpoint = false;
   RequestProgress near_deadline = base;
   near_deadline.remaining = Millis(5);
   for (const RequestProgress& it : std::vector<RequestProgress>{
@@ -93,7 +93,7 @@
   progress.retry_allowed = false;
   EXPECT_EQ(StepAfterAttempt(progress, AttemptOutcome::kNotSent),
             NextStep::kTryAnother);
-  progress.dials = 6;
+  progress.connection_attempts = 6;
   EXPECT_EQ(StepAfterAttempt(progress, AttemptOutcome::kNotSent),
             NextStep::kRefuse);
 }
@@ -115,8 +115,8 @@
             NextStep::kResume);
   progress.resumable = false;
   EXPECT_EQ(StepAfterAttempt(progress, AttemptOutcome::kBroken),
-            NextStep::kBreakOff);
-  EXPECT_EQ(StepAtTimeout(progress, true), NextStep::kBreakOff);
+            NextStep::kAbort);
+  EXPECT_EQ(StepAtTimeout(progress, true), NextStep::kAbort);
 }
 
 TEST(AttemptRulesTest, ContentThatCrashesEndpointsIsNotSentAgain) {
--- a/tests/coordination/budget_shares_test.cpp
+++ b/tests/coordination/budget_shares_test.cpp
@@ -13,9 +13,9 @@
 #include <vector>
 
 #include "coordination/claim_batch.h"
-#include "state/budget_beat.h"
 #include "state/budget_claim.h"
 #include "state/organisation.h"
+#include "state/share_lock.h"
 
 namespace tamaracktrail {
 namespace {
@@ -58,7 +58,7 @@
          Millis now,
          const std::string& boot)
       : topic_(topic), shares_({name, incarnation, boot}) {
-    shares_.SetAlone(now);
+    shares_.SetPredecessorGoneAt(now);
     Read(now);
   }
 
@@ -130,11 +130,11 @@
   Holder holder(&topic, "a", 1, Millis(1000), "boot");
   holder.shares().SetBudgets(Prepaid(1000000));
   EXPECT_EQ(holder.shares().Reserve(Millis(1000), kName, 5000),
-            BudgetShares::Verdict::kShort);
+            BudgetShares::Verdict::kInsufficient);
   holder.AppendAndRead(Millis(1010));
   EXPECT_EQ(holder.shares().Reserve(Millis(1020), kName, 5000),
             BudgetShares::Verdict::kGranted);
-  EXPECT_TRUE(holder.shares().Claimed(kName) >= 5000);
+  EXPECT_TRUE(holder.shares().TotalClaimed(kName) >= 5000);
 }
 
 TEST(BudgetSharesTest, GrantsUnlimitedTokensWithoutABudget) {
@@ -161,7 +161,7 @@
   EXPECT_EQ(b.shares().Reserve(Millis(1010), kName, 800),
             BudgetShares::Verdict::kGranted);
   EXPECT_EQ(a.shares().Reserve(Millis(1010), kName, 800),
-            BudgetShares::Verdict::kShort);
+            BudgetShares::Verdict::kInsufficient);
 }
 
 // Guards against overspending after a claim was lowered. A claim that only
@@ -191,8 +191,8 @@
   b.shares().Reserve(Millis(61001), kName, 90000);
   b.AppendAndRead(Millis(61002));
   a.Read(Millis(61003));
-  EXPECT_LE(a.shares().Look(Millis(190000), kName).available +
-                b.shares().Look(Millis(190000), kName).available,
+  EXPECT_LE(a.shares().GetView(Millis(190000), kName).available +
+                b.shares().GetView(Millis(190000), kName).available,
             kTotal);
 }
 
@@ -268,7 +268,7 @@
   a.AppendBatch();
   a.List(Millis(1010));
   EXPECT_EQ(a.shares().Reserve(Millis(1011), kName, 8000),
-            BudgetShares::Verdict::kShort);
+            BudgetShares::Verdict::kInsufficient);
 }
 
 TEST(BudgetSharesTest, LeavesARaiseUndecidedIfItWasPendingWhenTheListingBegan) {
@@ -280,7 +280,7 @@
   a.AppendBatchWithoutAnswer();
   a.List(Millis(1010));
   EXPECT_EQ(a.shares().Reserve(Millis(1011), kName, 8000),
-            BudgetShares::Verdict::kShort);
+            BudgetShares::Verdict::kInsufficient);
   a.shares().OnAppended();
   EXPECT_TRUE(a.shares().HasUndecidedRaise());
   a.List(Millis(1020));
@@ -296,13 +296,13 @@
   ASSERT_EQ(first.shares().Reserve(Millis(1002), kName, 10000),
             BudgetShares::Verdict::kGranted);
   first.AppendAndRead(Millis(1500));
-  const int64_t claimed = first.shares().Claimed(kName);
+  const int64_t claimed = first.shares().TotalClaimed(kName);
   Holder soon(&topic, "a", 2, Millis(2500), "boot");
   Holder late(&topic, "a", 3, Millis(9000), "boot");
   Holder elsewhere(&topic, "a", 4, Millis(2500), "another boot");
-  EXPECT_LT(soon.shares().Claimed(kName), claimed);
-  EXPECT_EQ(late.shares().Claimed(kName), claimed);
-  EXPECT_EQ(elsewhere.shares().Claimed(kName), claimed);
+  EXPECT_LT(soon.shares().TotalClaimed(kName), claimed);
+  EXPECT_EQ(late.shares().TotalClaimed(kName), claimed);
+  EXPECT_EQ(elsewhere.shares().TotalClaimed(kName), claimed);
 }
 
 TEST(BudgetSharesTest, GivesUpUnspentTokensWhenTheTotalIsLowered) {
@@ -312,12 +312,12 @@
   holder.shares().Reserve(Millis(1000), kName, 10000);
   holder.AppendAndRead(Millis(1001));
   holder.shares().SetBudgets(Prepaid(500));
-  EXPECT_EQ(holder.shares().Look(Millis(1002), kName).available, 0);
+  EXPECT_EQ(holder.shares().GetView(Millis(1002), kName).available, 0);
   EXPECT_EQ(holder.shares().Reserve(Millis(1002), kName, 501),
-            BudgetShares::Verdict::kShort);
+            BudgetShares::Verdict::kInsufficient);
   holder.AppendAndRead(Millis(1003));
   EXPECT_EQ(holder.shares().Reserve(Millis(1004), kName, 501),
-            BudgetShares::Verdict::kShort);
+            BudgetShares::Verdict::kInsufficient);
   EXPECT_TRUE(holder.shares().IsExhausted(Millis(1004), kName, 501));
 }
 
@@ -331,7 +331,7 @@
   holder.shares().Settle(kName, 4000, 3000);
   topic.Append(holder.shares().PlanReturn(Millis(1003)));
   Holder other(&topic, "b", 2, Millis(1004), "boot");
-  EXPECT_EQ(other.shares().Claimed(kName), 3000);
+  EXPECT_EQ(other.shares().TotalClaimed(kName), 3000);
 }
 
 TEST(BudgetSharesTest, ReturnsMostOfTheShareWhileDraining) {
@@ -346,11 +346,11 @@
     holder.shares().Reserve(now, kName, 1000);
     holder.AppendAndRead(now);
   }
-  ASSERT_GT(holder.shares().Look(now, kName).held, 50000);
+  ASSERT_GT(holder.shares().GetView(now, kName).held, 50000);
   holder.shares().BeginDrain();
   holder.AppendAndRead(now + Millis(10));
-  EXPECT_LT(holder.shares().Look(now, kName).held, 30000);
-  EXPECT_GT(holder.shares().Look(now, kName).held, 10000);
+  EXPECT_LT(holder.shares().GetView(now, kName).held, 30000);
+  EXPECT_GT(holder.shares().GetView(now, kName).held, 10000);
 }
 
 TEST(BudgetSharesTest, CoversTwoLargeRequestsWhileTheLogIsLost) {
--- a/tests/coordination/coordinator_test.cpp
+++ b/tests/coordination/coordinator_test.cpp
@@ -39,7 +39,7 @@
 // its process.
 TEST_F(CoordinatorTest, ReleaseAfterOwnExitRecordIsIgnored) {
   coordinator_->Drain();
-  coordinator_->Leave();
+  coordinator_->QueueExit();
   Feed("ledger-0", Release{1, "swept", {}});
 }
 
@@ -95,7 +95,7 @@
       {"an instance is killed and restarted", [](auto& it) { it.Kill(0); },
        [](auto& it) { it.Restart(0); }},
       {"an instance is paused", [](auto& it) { it.Pause(1); },
-       [](auto& it) { it.Wake(1); }},
+       [](auto& it) { it.Resume(1); }},
   };
   for (const FaultCase& it : kCases) {
     FakeFleet::Options options;
--- a/tests/coordination/crash_guard_test.cpp
+++ b/tests/coordination/crash_guard_test.cpp
@@ -12,33 +12,33 @@
 
 TEST(CrashGuardTest, LostConnectionAloneIsNoCrash) {
   CrashGuard guard;
-  guard.OnBroken(kNow, kContent, kFirst);
-  guard.OnBroken(kNow + Millis(5000), kContent, kSecond);
+  guard.OnConnectionLost(kNow, kContent, kFirst);
+  guard.OnConnectionLost(kNow + Millis(5000), kContent, kSecond);
   EXPECT_FALSE(guard.IsSuspect(kContent));
 }
 
 TEST(CrashGuardTest, EndpointDownWithinTheCrashWindowIsACrash) {
   CrashGuard guard;
-  guard.OnBroken(kNow, kContent, kFirst);
+  guard.OnConnectionLost(kNow, kContent, kFirst);
   guard.OnEndpointDown(kNow + Millis(100), kFirst);
   EXPECT_TRUE(guard.IsSuspect(kContent));
   EXPECT_FALSE(guard.IsBlocked(kContent));
-  guard.OnBroken(kNow + Millis(1000), kContent, kSecond);
+  guard.OnConnectionLost(kNow + Millis(1000), kContent, kSecond);
   guard.OnEndpointDown(kNow + Millis(1100), kSecond);
   EXPECT_TRUE(guard.IsBlocked(kContent));
 }
 
 TEST(CrashGuardTest, EndpointDownAfterTheCrashWindowIsNoCrash) {
   CrashGuard guard;
-  guard.OnBroken(kNow, kContent, kFirst);
+  guard.OnConnectionLost(kNow, kContent, kFirst);
   guard.OnEndpointDown(kNow + Millis(5000), kFirst);
   EXPECT_FALSE(guard.IsSuspect(kContent));
 }
 
 TEST(CrashGuardTest, ConnectionsOfTwoContentsLostTogetherAreACrash) {
   CrashGuard guard;
-  guard.OnBroken(kNow, kContent, kFirst);
-  guard.OnBroken(kNow + Millis(20), 2, kFirst);
+  guard.OnConnectionLost(kNow, kContent, kFirst);
+  guard.OnConnectionLost(kNow + Millis(20), 2, kFirst);
   EXPECT_TRUE(guard.IsSuspect(kContent));
   EXPECT_TRUE(guard.IsSuspect(2));
 }
@@ -50,7 +50,7 @@
   EXPECT_FALSE(guard.IsBlocked(kContent));
   guard.OnReported(kNow, {kContent, kSecond});
   EXPECT_TRUE(guard.IsBlocked(kContent));
-  EXPECT_EQ(guard.Known(8).size(), 2U);
+  EXPECT_EQ(guard.KnownCrashes(8).size(), 2U);
   guard.OnTick(kNow + kHour);
   EXPECT_FALSE(guard.IsBlocked(kContent));
 }
--- a/tests/coordination/decisions_test.cpp
+++ b/tests/coordination/decisions_test.cpp
@@ -24,8 +24,8 @@
   it.from = {"10.0.0.2:1", incarnation};
   it.data_centre = "dc";
   it.sequence = sequence;
-  it.echo_of = echo_of;
-  it.echo = echo;
+  it.echoed_incarnation = echo_of;
+  it.echoed_sent_at = echo;
   return it;
 }
 
@@ -57,7 +57,8 @@
 TEST(MembershipTest, SeedsExcludeSelfAndTheirRemovalKeepsLivePeers) {
   Membership it({"10.0.0.1:1", 1}, "dc", {});
   it.SetSeeds({"10.0.0.1:1", "10.0.0.3:1"});
-  EXPECT_EQ(it.Due(Millis(1)), std::vector<std::string>{"10.0.0.3:1"});
+  EXPECT_EQ(it.TakeDueAddresses(Millis(1)),
+            std::vector<std::string>{"10.0.0.3:1"});
   std::optional<uint64_t> replaced;
   it.OnHeartbeat(Millis(1000), HeartbeatFrom(2, 1, 1, Millis(900)), replaced);
   it.SetSeeds({});
@@ -75,12 +76,12 @@
   tight.sent_at = Millis(501010);
   it.OnHeartbeat(Millis(2011), tight, replaced);
   const Membership::Peer& peer = *it.ByIncarnation(2);
-  EXPECT_EQ(Membership::LocalTime(peer, Millis(501010)), Millis(2000));
+  EXPECT_EQ(Membership::EarliestLocalTime(peer, Millis(501010)), Millis(2000));
   loose.sequence = 3;
-  loose.echo = Millis(3000);
+  loose.echoed_sent_at = Millis(3000);
   loose.sent_at = Millis(502900);
   it.OnHeartbeat(Millis(3901), loose, replaced);
-  EXPECT_EQ(Membership::LocalTime(peer, Millis(502900)), Millis(3889));
+  EXPECT_EQ(Membership::EarliestLocalTime(peer, Millis(502900)), Millis(3889));
 }
 
 TEST(MembershipTest, SuspicionTimeoutGrowsWithTheNumberOfPeers) {
@@ -106,14 +107,14 @@
       candidates.push_back(i * 7919);
     }
     std::map<uint64_t, size_t> counts;
-    for (const uint64_t it : RendezvousSpread(keys, candidates)) {
+    for (const uint64_t it : RendezvousAssign(keys, candidates)) {
       ++counts[it];
     }
     for (const auto& [candidate, count] : counts) {
       EXPECT_LE(count, (64 + n - 1) / n);
     }
   }
-  EXPECT_TRUE(RendezvousSpread(keys, {}).empty());
+  EXPECT_TRUE(RendezvousAssign(keys, {}).empty());
 }
 
 // Exit sweeps.
@@ -123,9 +124,9 @@
   const std::vector<uint64_t> members{2, 3};
   it.Start(9);
   it.OnReport({9, 2, {{"org", 7, 40}}, {}});
-  EXPECT_TRUE(it.TakeComplete(members).empty());
+  EXPECT_TRUE(it.TakeCompletedSweeps(members).empty());
   it.OnReport({9, 3, {{"org", 7, 100}}, {}});
-  const auto complete = it.TakeComplete(members);
+  const auto complete = it.TakeCompletedSweeps(members);
   ASSERT_EQ(complete.size(), 1u);
   EXPECT_EQ(complete[0].kept, (std::vector<KeptShare>{{"org", 7, 100}}));
 }
@@ -148,11 +149,11 @@
   Outbox outbox;
   const std::vector<uint64_t> peers{2, 3};
   it.Settle(Millis(0), MakeSettleRequest(1), peers, outbox);
-  ASSERT_EQ(outbox.letters.size(), 1u);
-  EXPECT_NE(outbox.letters[0].to, 1u);
-  EXPECT_TRUE(it.TakeSettled().empty());
+  ASSERT_EQ(outbox.messages.size(), 1u);
+  EXPECT_NE(outbox.messages[0].to, 1u);
+  EXPECT_TRUE(it.TakeSettleResults().empty());
   it.OnHeldElsewhere(9);
-  const auto settled = it.TakeSettled();
+  const auto settled = it.TakeSettleResults();
   ASSERT_EQ(settled.size(), 1u);
   EXPECT_EQ(settled[0].safety, ChargeCustody::Safety::kSafe);
 }
@@ -164,7 +165,7 @@
   it.OnTick(Millis(1), {}, outbox);
   ASSERT_EQ(outbox.records.size(), 1u);  // The charge.
   it.OnTick(kSecond * 5, {}, outbox);
-  const auto settled = it.TakeSettled();
+  const auto settled = it.TakeSettleResults();
   ASSERT_EQ(settled.size(), 1u);
   EXPECT_EQ(settled[0].safety, ChargeCustody::Safety::kNotSafe);
   EXPECT_TRUE(std::holds_alternative<Void>(outbox.records.back()));
@@ -175,12 +176,12 @@
 TEST(LogWriterTest, RepeatsTheSameBytesUntilReadBack) {
   const BatchCodec codec("a key for tests");
   LogWriter it(5, &codec, {});
-  const uint64_t ticket = it.Add(Want{"org", 1, 1});
+  const uint64_t ticket = it.Add(ShareRequest{"org", 1, 1});
   const auto first = it.NextAppend(Millis(0), Millis(0));
   ASSERT_TRUE(first.has_value());
   EXPECT_FALSE(it.NextAppend(kHour, Millis(0)).has_value());
   it.OnAppended(Millis(0), false);
-  it.Add(Want{"org", 1, 2});
+  it.Add(ShareRequest{"org", 1, 2});
   EXPECT_EQ(it.NextAppend(kHour, Millis(0)), first);
   EXPECT_FALSE(it.Confirmed(ticket));
   it.OnReadBack(1);
@@ -218,7 +219,7 @@
 
 TEST_F(EndpointTableTest,
        DrainingEndpointStaysExcludedDespiteAnOlderObservation) {
-  Observe("a", EndpointHealth::kLeaving, Millis(1000));
+  Observe("a", EndpointHealth::kDraining, Millis(1000));
   Observe("a", EndpointHealth::kUp, Millis(900));
   EXPECT_EQ(Count(Millis(1001)), 0u);
 }
@@ -253,14 +254,14 @@
 TEST_F(EndpointTableTest, RecoveredEndpointStartsWithReducedCapacity) {
   Observe("a", EndpointHealth::kDown, Millis(1000));
   Observe("a", EndpointHealth::kUp, Millis(2000));
-  EXPECT_EQ(table_.Room(Millis(2001), "s"), 1);
+  EXPECT_EQ(table_.FreeSlots(Millis(2001), "s"), 1);
   Observe("a", EndpointHealth::kUp, Millis(20000));
-  EXPECT_EQ(table_.Room(Millis(20001), "s"), 10);
+  EXPECT_EQ(table_.FreeSlots(Millis(20001), "s"), 10);
 }
 
 TEST_F(EndpointTableTest, DispatchesSinceTheLoadReportCountForEachSender) {
   Observe("a", EndpointHealth::kUp, Millis(1000), 2);
-  table_.SetSharers(4);
+  table_.SetInstanceCount(4);
   table_.OnDispatch(Millis(1001), "a");
   EXPECT_DOUBLE_EQ(table_.Candidates(Millis(1002), "s")[0].load, 0.6);
 }
@@ -269,7 +270,7 @@
 // made an idle endpoint appear full in tools/overhead.sh.
 TEST_F(EndpointTableTest, EndedRequestsAddNoLoad) {
   Observe("a", EndpointHealth::kUp, Millis(1000));
-  table_.SetSharers(4);
+  table_.SetInstanceCount(4);
   for (int i = 0; i < 100; ++i) {
     table_.OnDispatch(Millis(1001), "a");
     table_.OnFinish(Millis(1002), "a", Millis(1001),
--- a/tests/coordination/endpoint_board_test.cpp
+++ b/tests/coordination/endpoint_registry_test.cpp
@@ -1,4 +1,4 @@
-#include "coordination/endpoint_board.h"
+#include "coordination/endpoint_registry.h"
 
 #include <gtest/gtest.h>
 
@@ -19,19 +19,19 @@
   entry.service = "llm";
   entry.address = "10.0.0.1:80";
   entry.data_centre = "a";
-  entry.born = born;
+  entry.start_unix_ms = born;
   entry.sequence = sequence;
   entry.slots = 8;
   return entry;
 }
 
-EndpointTicket SendOne(EndpointBoard* registry, const std::string& id) {
+EndpointTicket SendOne(EndpointRegistry* registry, const std::string& id) {
   return registry->OnSent(kNow, *registry->Find(id, 1), 1000, Millis(50));
 }
 
 TEST(EndpointRegistryTest,
      DrainingEndpointGetsNoRequestsAndDoesNotBecomeUsableAgain) {
-  EndpointBoard registry;
+  EndpointRegistry registry;
   registry.Apply(kNow, Entry("e", 1, 1));
   EXPECT_EQ(registry.Usable(kNow, "llm").size(), 1U);
   EndpointEntry draining_entry = Entry("e", 1, 2);
@@ -43,7 +43,7 @@
 }
 
 TEST(EndpointRegistryTest, OlderEntriesAreIgnored) {
-  EndpointBoard registry;
+  EndpointRegistry registry;
   EndpointEntry draining_entry = Entry("e", 2, 5);
   draining_entry.draining = true;
   registry.Apply(kNow, draining_entry);
@@ -58,24 +58,24 @@
 // With 73 instances, one that was reconnected after a network cut received a
 // removal, and 25 ms later a peer sent it the entry from before the removal.
 TEST(EndpointRegistryTest, PeersCopyDoesNotRestoreARemovedEndpoint) {
-  EndpointBoard registry;
+  EndpointRegistry registry;
   registry.Apply(kNow, Entry("e", 1, 5));
   registry.Remove(kNow, "e", true);
-  EXPECT_FALSE(registry.ApplyCopy(kNow + Millis(25), Entry("e", 1, 7)));
+  EXPECT_FALSE(registry.ApplyFromPeer(kNow + Millis(25), Entry("e", 1, 7)));
   EXPECT_FALSE(registry.MayReceive(kNow + Millis(2000), "e", 1));
   // The store lists it again.
   registry.Apply(kNow + Millis(2100), Entry("e", 1, 8));
   EXPECT_TRUE(registry.MayReceive(kNow + Millis(2200), "e", 1));
   registry.Remove(kNow + Millis(2250), "e", false);
-  EXPECT_FALSE(registry.ApplyCopy(kNow + Millis(2260), Entry("e", 1, 9)));
+  EXPECT_FALSE(registry.ApplyFromPeer(kNow + Millis(2260), Entry("e", 1, 9)));
   EXPECT_FALSE(registry.MayReceive(kNow + Millis(2270), "e", 1));
   // An endpoint that was not removed is accepted from a peer.
-  EXPECT_TRUE(registry.ApplyCopy(kNow + Millis(2300), Entry("f", 1, 1)));
+  EXPECT_TRUE(registry.ApplyFromPeer(kNow + Millis(2300), Entry("f", 1, 1)));
   EXPECT_TRUE(registry.MayReceive(kNow + Millis(2300), "f", 1));
 }
 
 TEST(EndpointRegistryTest, OnlyANewerEntryRestoresARemovedEndpoint) {
-  EndpointBoard registry;
+  EndpointRegistry registry;
   registry.Apply(kNow, Entry("e", 1, 5));
   registry.Remove(kNow, "e", false);
   registry.Apply(kNow, Entry("e", 1, 5));
@@ -96,7 +96,7 @@
 
 TEST_P(RemovalTest, MissingEndpointIsUsableBrieflyIfTheStoreIsInDoubt) {
   const RemovalCase& it = GetParam();
-  EndpointBoard registry;
+  EndpointRegistry registry;
   EndpointEntry entry = Entry("e", 1, 1);
   entry.draining = it.draining;
   registry.Apply(kNow, entry);
@@ -114,7 +114,7 @@
     [](const auto& info) { return std::string(info.param.name); });
 
 TEST(EndpointRegistryTest, ListingRemovesEndpointsThatItDoesNotContain) {
-  EndpointBoard registry;
+  EndpointRegistry registry;
   registry.Apply(kNow, Entry("e", 1, 1));
   registry.Apply(kNow, Entry("f", 1, 1));
   registry.KeepOnly(kNow, {"f"}, false);
@@ -123,32 +123,32 @@
 }
 
 TEST(EndpointRegistryTest, PromptLoadEndsAtTheFirstByteAndOpenLoadAtTheEnd) {
-  EndpointBoard registry;
+  EndpointRegistry registry;
   registry.Apply(kNow, Entry("e", 1, 1));
   EndpointTicket ticket = SendOne(&registry, "e");
-  EXPECT_EQ(registry.Find("e", 1)->prompt_tokens(), 1000);
+  EXPECT_EQ(registry.Find("e", 1)->uncached_tokens(), 1000);
   EXPECT_EQ(registry.Find("e", 1)->open(), 1);
   registry.OnFirstByte(kNow + Millis(50), &ticket);
-  EXPECT_EQ(registry.Find("e", 1)->prompt_tokens(), 0);
-  registry.OnEnded(kNow + Millis(90), &ticket, EndpointOutcome::kGood);
+  EXPECT_EQ(registry.Find("e", 1)->uncached_tokens(), 0);
+  registry.OnEnded(kNow + Millis(90), &ticket, EndpointOutcome::kAnswered);
   EXPECT_EQ(registry.Find("e", 1)->open(), 0);
   EXPECT_TRUE(registry.OwnLoad().empty());
 }
 
 TEST(EndpointRegistryTest, NewPeerReportReplacesTheOldOneAndExpires) {
-  EndpointBoard registry;
+  EndpointRegistry registry;
   registry.Apply(kNow, Entry("e", 1, 1));
-  const uint64_t hash = registry.Find("e", 1)->hash;
+  const uint64_t hash = registry.Find("e", 1)->incarnation_hash;
   registry.SetPeerLoad(kNow, 7, {{hash, {500, 2}}, {12345, {9, 9}}});
   registry.SetPeerLoad(kNow, 7, {{hash, {300, 1}}});
   registry.SetPeerLoad(kNow, 8, {{hash, {100, 1}}});
-  EXPECT_EQ(registry.Find("e", 1)->prompt_tokens(), 400);
+  EXPECT_EQ(registry.Find("e", 1)->uncached_tokens(), 400);
   registry.OnTick(kNow + Millis(10000));
-  EXPECT_EQ(registry.Find("e", 1)->prompt_tokens(), 0);
+  EXPECT_EQ(registry.Find("e", 1)->uncached_tokens(), 0);
 }
 
 TEST(EndpointRegistryTest, UnreachableEndpointIsSuspendedUnlessAllAre) {
-  EndpointBoard registry;
+  EndpointRegistry registry;
   registry.Apply(kNow, Entry("e", 1, 1));
   registry.Apply(kNow, Entry("f", 1, 1));
   EndpointTicket ticket = SendOne(&registry, "e");
--- a/tests/coordination/keeper_test.cpp
+++ b/tests/coordination/keeper_test.cpp
@@ -67,7 +67,7 @@
   //! Code of the last reply to an attempt; 0 if there is none.
   int CodeOf(uint64_t attempt) const {
     int code = 0;
-    for (const Outbox::Letter& it : outbox_.letters) {
+    for (const Outbox::Message& it : outbox_.messages) {
       const auto* reply = std::get_if<ReserveReply>(&it.message);
       if (reply != nullptr && reply->attempt == attempt) {
         code = reply->code;
@@ -180,7 +180,7 @@
 }
 
 TEST_F(KeeperTest, ClaimedKeyWithoutOutcomeIsRefusedAsOutcomeUnknown) {
-  Apply({Claim{"org", "fee", 77, 0, ""}}, 99);
+  Apply({RunClaim{"org", "fee", 77, 0, ""}}, 99);
   Reserve(1, 10, "fee", true);
   EXPECT_EQ(CodeOf(1), Code(ResultCode::kOutcomeUnknown));
 }
@@ -191,8 +191,9 @@
   Apply({Draw{"org", 7, 1000}}, 7);
   Reserve(2, 100, "b");
   const bool share_requested = std::any_of(
-      outbox_.records.begin(), outbox_.records.end(),
-      [](const Record& it) { return std::holds_alternative<Want>(it); });
+      outbox_.records.begin(), outbox_.records.end(), [](const Record& it) {
+        return std::holds_alternative<ShareRequest>(it);
+      });
   EXPECT_TRUE(share_requested);
   Sync();
   Tick(kSecond * 3);
@@ -212,7 +213,7 @@
   Settle(1, 1, "a");
   Sync();
   const int64_t before = fold_.BudgetOf("org").undrawn;
-  Apply({Want{"org", 7, 500}}, 7);
+  Apply({ShareRequest{"org", 7, 500}}, 7);
   Sync();
   EXPECT_GT(fold_.BudgetOf("org").undrawn, before);
 }
--- a/tests/coordination/placement_test.cpp
+++ b/tests/coordination/placement_test.cpp
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "absl/strings/str_cat.h"
-#include "coordination/endpoint_board.h"
+#include "coordination/endpoint_registry.h"
 #include "coordination/endpoint_state.h"
-#include "coordination/prefix_memory.h"
+#include "coordination/prefix_cache_index.h"
 #include "state/endpoint_entry.h"
 #include "state/routed_service.h"
 
@@ -24,9 +24,9 @@
 RoutedService Engines() {
   RoutedService service;
   service.name = "llm";
-  service.generates = true;
+  service.has_engines = true;
   service.slots = 64;
-  service.token_bytes = 163840;
+  service.kv_token_bytes = 163840;
   service.link_mbps = 180000;
   return service;
 }
@@ -37,7 +37,7 @@
   entry.service = "llm";
   entry.address = absl::StrCat("10.0.0.", i + 1, ":80");
   entry.data_centre = data_centre;
-  entry.born = 1;
+  entry.start_unix_ms = 1;
   entry.sequence = 1;
   entry.slots = 64;
   return entry;
@@ -62,16 +62,16 @@
 
   Placement::Choice Choose(const PromptShape& prompt, Millis now = kNow) {
     const std::vector<uint64_t> prefix_hashes =
-        PrefixMemory::Chain(prompt.parts);
+        PrefixCacheIndex::HashPrefixes(prompt.parts);
     Placement::Request request;
     request.service = &service_;
     request.prompt = &prompt;
-    request.chain = &prefix_hashes;
+    request.prefix_hashes = &prefix_hashes;
     return *placement_.Choose(now, request, 0);
   }
 
-  EndpointBoard registry_;
-  PrefixMemory prefix_index_{1000};
+  EndpointRegistry registry_;
+  PrefixCacheIndex prefix_index_{1000};
   RoutedService service_ = Engines();
   Placement placement_;
 };
@@ -108,7 +108,7 @@
   const Placement::Choice other = view.Choose(prompt);
   EXPECT_NE(other.id, preferred.id);
   EXPECT_EQ(other.fetch_from, preferred.address);
-  EXPECT_LT(other.prompt_tokens, 1000);
+  EXPECT_LT(other.uncached_tokens, 1000);
 }
 
 // Many instances choose engines between two load reports of their peers, so the
@@ -117,7 +117,8 @@
   InstanceView view;
   const PromptShape prompt = Prompt("session", 600);
   const Placement::Choice preferred = view.Choose(prompt);
-  view.registry_.SetPeerLoad(kNow, 1, {{preferred.hash, {80000, 3}}});
+  view.registry_.SetPeerLoad(kNow, 1,
+                             {{preferred.incarnation_hash, {80000, 3}}});
   EXPECT_NE(view.Choose(prompt).id, preferred.id);
 }
 
@@ -146,13 +147,14 @@
 TEST(PlacementTest, ServiceWithoutEndpointsReturnsNoChoice) {
   InstanceView view;
   const PromptShape prompt = Prompt("session", 600);
-  const std::vector<uint64_t> prefix_hashes = PrefixMemory::Chain(prompt.parts);
+  const std::vector<uint64_t> prefix_hashes =
+      PrefixCacheIndex::HashPrefixes(prompt.parts);
   RoutedService other = Engines();
   other.name = "other";
   Placement::Request request;
   request.service = &other;
   request.prompt = &prompt;
-  request.chain = &prefix_hashes;
+  request.prefix_hashes = &prefix_hashes;
   EXPECT_FALSE(view.placement_.Choose(kNow, request, 0));
 }
 
@@ -214,9 +216,9 @@
       if (it.first_event_at > now_) {
         return false;
       }
-      EndpointBoard& registry = views_[it.view]->registry_;
+      EndpointRegistry& registry = views_[it.view]->registry_;
       registry.OnFirstByte(At(), &it.ticket);
-      registry.OnEnded(At(), &it.ticket, EndpointOutcome::kGood);
+      registry.OnEnded(At(), &it.ticket, EndpointOutcome::kAnswered);
       return true;
     });
   }
@@ -255,7 +257,7 @@
   //! Sends one request; returns the time to its first event, ms.
   double Send() {
     const size_t v = random_() % views_.size();
-    EndpointBoard& registry = views_[v]->registry_;
+    EndpointRegistry& registry = views_[v]->registry_;
     const PromptShape prompt = RandomPrompt();
     Placement::Choice choice = views_[v]->Choose(prompt, At());
     if (least_open_) {
@@ -265,17 +267,17 @@
             return a->own_load.open < b->own_load.open;
           });
       choice.id = least->entry.id;
-      choice.prompt_tokens = prompt.prompt_tokens;
+      choice.uncached_tokens = prompt.prompt_tokens;
     }
     const size_t engine = std::stoul(choice.id.substr(1));
     const double first =
         std::max(now_, idle_at_[engine]) +
-        static_cast<double>(choice.prompt_tokens) / kTokensPerMs;
+        static_cast<double>(choice.uncached_tokens) / kTokensPerMs;
     idle_at_[engine] = first;
     open_requests_.push_back(
         {first, v,
          registry.OnSent(At(), *registry.Find(choice.id, 1),
-                         choice.prompt_tokens, choice.predicted)});
+                         choice.uncached_tokens, choice.predicted)});
     return first - now_;
   }
 
--- a/tests/coordination/request_flow_test.cpp
+++ b/tests/coordination/request_flow_test.cpp
@@ -89,7 +89,7 @@
       {Kind::kConnectFailed, false, ResultCode::kNoEndpoint, RunState::kNotRun},
       {Kind::kRefused, true, ResultCode::kEndpointRefused, RunState::kNotRun},
       {Kind::kRefused, false, ResultCode::kEndpointRefused, RunState::kNotRun},
-      {Kind::kCut, false, ResultCode::kOutcomeUnknown,
+      {Kind::kConnectionLost, false, ResultCode::kOutcomeUnknown,
        RunState::kOutcomeUnknown},
       {Kind::kError, true, ResultCode::kEndpointError, RunState::kRan},
       {Kind::kError, false, ResultCode::kEndpointError,
@@ -117,7 +117,7 @@
 TEST_F(RequestFlowTest, NonRepeatableCallIsNotResentAfterBytesWereSent) {
   RequestFlow flow = Make(false);
   AdvanceToRunning(flow);
-  const auto actions = flow.OnUpstream(now_, Event(Kind::kCut));
+  const auto actions = flow.OnUpstream(now_, Event(Kind::kConnectionLost));
   EXPECT_EQ(Find<DispatchCall>(actions), nullptr);
 }
 
@@ -126,7 +126,7 @@
     RequestFlow flow = Make(true, resumable);
     AdvanceToRunning(flow);
     flow.OnUpstream(now_, Event(Kind::kChunk, 0));
-    flow.OnUpstream(now_, Event(Kind::kCut));
+    flow.OnUpstream(now_, Event(Kind::kConnectionLost));
     const auto actions = flow.OnCrashVerdict(now_, false);
     const auto* dispatch = Find<DispatchCall>(actions);
     if (!resumable) {
@@ -164,7 +164,7 @@
   spec.attempt = 9;
   RequestFlow flow(spec, &exhausted);
   AdvanceToRunning(flow);
-  flow.OnUpstream(now_, Event(Kind::kCut));
+  flow.OnUpstream(now_, Event(Kind::kConnectionLost));
   const auto actions = flow.OnCrashVerdict(now_, false);
   EXPECT_EQ(Find<FinishRequest>(actions)->code, ResultCode::kRetryBudgetSpent);
 }
@@ -172,7 +172,7 @@
 TEST_F(RequestFlowTest, CrashIsRecordedBeforeARetry) {
   RequestFlow flow = Make(true);
   AdvanceToRunning(flow);
-  flow.OnUpstream(now_, Event(Kind::kCut));
+  flow.OnUpstream(now_, Event(Kind::kConnectionLost));
   const auto crash = flow.OnCrashVerdict(now_, true);
   EXPECT_NE(Find<RecordCrash>(crash), nullptr);
   EXPECT_EQ(Find<DispatchCall>(crash), nullptr);
@@ -194,7 +194,7 @@
   EXPECT_TRUE(
       non_repeatable_flow.OnCallerGone(now_, ResultCode::kCallerGone).empty());
   const auto end = non_repeatable_flow.OnUpstream(now_, Event(Kind::kEnd));
-  EXPECT_NE(Find<NoteRecord>(end), nullptr);
+  EXPECT_NE(Find<AppendRecord>(end), nullptr);
   EXPECT_EQ(Find<SettleCharge>(end), nullptr);
 }
 
--- a/tests/platform/decoder_test.cpp
+++ b/tests/platform/decoder_test.cpp
@@ -34,17 +34,17 @@
   const Route* route = (*config)->FindRoute("h.example:80", "/a/x?y=/a/b/");
   ASSERT_NE(route, nullptr);
   EXPECT_EQ(route->name, "r1");
-  EXPECT_EQ(route->split.size(), 2U);
-  EXPECT_EQ(route->patience, Millis(3200));
+  EXPECT_EQ(route->weighted_services.size(), 2U);
+  EXPECT_EQ(route->event_timeout, Millis(3200));
   EXPECT_FALSE(route->repeatable());
   EXPECT_EQ((*config)->FindRoute("h.example", "/a/b/c")->name, "r2");
   EXPECT_EQ((*config)->FindRoute("h.example", "/b/"), nullptr);
   EXPECT_EQ((*config)->FindRoute("other", "/a/"), nullptr);
-  EXPECT_EQ((*config)->FindService("s1")->event_tokens, 5);
-  EXPECT_TRUE((*config)->FindService("s1")->generates);
-  EXPECT_FALSE((*config)->FindService("s2")->generates);
-  EXPECT_EQ((*config)->FindByKey("k2")->prepaid, 5000);
-  EXPECT_EQ((*config)->FindByKey("k3"), nullptr);
+  EXPECT_EQ((*config)->FindService("s1")->tokens_per_event, 5);
+  EXPECT_TRUE((*config)->FindService("s1")->has_engines);
+  EXPECT_FALSE((*config)->FindService("s2")->has_engines);
+  EXPECT_EQ((*config)->FindOrganisationByKey("k2")->prepaid, 5000);
+  EXPECT_EQ((*config)->FindOrganisationByKey("k3"), nullptr);
   EXPECT_EQ((*config)->limits().max_body_bytes, 200U);
 }
 
@@ -116,12 +116,12 @@
 TEST(WireNamesTest, ParsesPromptFromHeaderFields) {
   const CallDialect dialect = MakeCallDialect();
   HttpFields fields;
-  EXPECT_FALSE(dialect.read_prompt(fields));
+  EXPECT_FALSE(dialect.parse_prompt(fields));
   fields.Add("x-token-usage", "1460,80");
   fields.Add("X-Prompt-Prefix", "5c:800,91:410,e4:250");
-  const auto prompt = dialect.read_prompt(fields);
+  const auto prompt = dialect.parse_prompt(fields);
   ASSERT_TRUE(prompt);
-  EXPECT_EQ(prompt->most_tokens(), 1540);
+  EXPECT_EQ(prompt->max_tokens(), 1540);
   ASSERT_EQ(prompt->parts.size(), 3U);
   EXPECT_EQ(prompt->parts[1], (PromptPart{"91", 410}));
 }
--- a/tests/platform/front_test.cpp
+++ b/tests/platform/front_test.cpp
@@ -21,7 +21,7 @@
 #include "state/budget_claim.h"
 #include "support/caller.h"
 #include "support/loopback.h"
-#include "support/sample_site.h"
+#include "support/sample_config.h"
 #include "support/stand_in_endpoint.h"
 #include "support/stand_in_store.h"
 #include "transport/event_loop.h"
@@ -62,7 +62,7 @@
                    int64_t sequence,
                    bool draining) {
     store_.Put(platform::kEndpointTopic, endpoint.id(),
-               endpoint.Entry(service, sequence, draining));
+               endpoint.DirectoryEntry(service, sequence, draining));
   }
 
   void UseAsEngines() {
@@ -95,7 +95,7 @@
   void WhenReady(const std::function<void()>& script) {
     auto probe = std::make_shared<Caller>(&loop_, settings_.health_address,
                                           ReadinessRequest());
-    Await([probe] { return probe->over(); },
+    Await([probe] { return probe->finished(); },
           [this, probe, script] {
             if (probe->status() == 200) {
               script();
@@ -121,7 +121,7 @@
   }
 
   void AwaitOver(Caller* caller, const std::function<void()>& then) {
-    Await([caller] { return caller->over(); }, then);
+    Await([caller] { return caller->finished(); }, then);
   }
 
   static void Stop() { raise(SIGTERM); }
@@ -162,12 +162,14 @@
 TEST_F(FrontTest, ForwardsRequestAndAnswerWithoutReservedFields) {
   Caller* caller = RunOne(SampleRequest(
       "fee", "id-1", "X-Tenant: forged\r\nX-Hold: h\r\nX-Own: kept\r\n"));
-  ASSERT_TRUE(caller->whole());
+  ASSERT_TRUE(caller->complete());
   EXPECT_EQ(caller->status(), 200);
   EXPECT_EQ(caller->answer().body(), "body");
   EXPECT_EQ(caller->answer().fields().Count("X-Server-Signature"), 1U);
-  ASSERT_EQ(a_.ran().size() + b_.ran().size(), 1U);
-  const CallerRequest& ran = a_.ran().empty() ? b_.ran()[0] : a_.ran()[0];
+  ASSERT_EQ(a_.started_requests().size() + b_.started_requests().size(), 1U);
+  const CallerRequest& ran = a_.started_requests().empty()
+                                 ? b_.started_requests()[0]
+                                 : a_.started_requests()[0];
   EXPECT_EQ(ran.method, "POST");
   EXPECT_EQ(ran.target, "/fee/x");
   EXPECT_EQ(*ran.body, "body");
@@ -192,7 +194,7 @@
 TEST_P(RejectedRequestTest, IsAnsweredWithStatusAndNotRun) {
   Caller* caller = RunOne(GetParam().request);
   EXPECT_EQ(caller->status(), GetParam().status);
-  EXPECT_TRUE(a_.ran().empty() && b_.ran().empty());
+  EXPECT_TRUE(a_.started_requests().empty() && b_.started_requests().empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -241,7 +243,7 @@
 TEST_F(FrontTest, StreamsEventsAndChargesDeliveredTokens) {
   UseAsEngines();
   Caller* caller = RunOne(SampleRequest("report", "id-1"));
-  ASSERT_TRUE(caller->whole());
+  ASSERT_TRUE(caller->complete());
   EXPECT_EQ(caller->answer().body(),
             "id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\n"
             "id: 4\ndata: x\n\nid: 5\ndata: x\n\n");
@@ -259,19 +261,19 @@
   PutConfig(2, 500);
   Caller* caller = RunOne(SampleRequest("report", "id-1"));
   EXPECT_EQ(caller->status(), 402);
-  EXPECT_TRUE(a_.ran().empty() && b_.ran().empty());
+  EXPECT_TRUE(a_.started_requests().empty() && b_.started_requests().empty());
 }
 
 TEST_F(FrontTest, NonRepeatableRequestRunsOnceWhenEndpointDoesNotAnswer) {
-  a_.habits().silent = true;
-  b_.habits().silent = true;
+  a_.behaviour().unresponsive = true;
+  b_.behaviour().unresponsive = true;
   Caller* caller = RunOne(SampleRequest("fee", "id-1"));
   EXPECT_EQ(caller->status(), 504);
-  EXPECT_EQ(a_.Runs("id-1") + b_.Runs("id-1"), 1);
+  EXPECT_EQ(a_.RunCount("id-1") + b_.RunCount("id-1"), 1);
 }
 
 TEST_F(FrontTest, SafeRequestIsSentToAnotherEndpointWhenOneDoesNotAnswer) {
-  a_.habits().silent = true;
+  a_.behaviour().unresponsive = true;
   std::vector<Caller*> all;
   Run([&] {
     for (int i = 0; i < 8; ++i) {
@@ -280,48 +282,53 @@
     Await(
         [&] {
           return std::all_of(all.begin(), all.end(),
-                             [](Caller* it) { return it->over(); });
+                             [](Caller* it) { return it->finished(); });
         },
         [] { Stop(); });
   });
   for (Caller* it : all) {
     EXPECT_EQ(it->status(), 200);
   }
-  EXPECT_FALSE(a_.ran().empty());
+  EXPECT_FALSE(a_.started_requests().empty());
 }
 
 TEST_F(FrontTest, RefusalByAllEndpointsIsAnsweredWithRetryAfter) {
-  a_.habits().refuse = true;
-  b_.habits().refuse = true;
+  a_.behaviour().refuse = true;
+  b_.behaviour().refuse = true;
   Caller* caller = RunOne(SampleRequest("fee", "id-1"));
   EXPECT_EQ(caller->status(), 503);
   EXPECT_EQ(caller->answer().fields().Count("Retry-After"), 1U);
-  EXPECT_TRUE(a_.ran().empty() && b_.ran().empty());
+  EXPECT_TRUE(a_.started_requests().empty() && b_.started_requests().empty());
 }
 
 TEST_F(FrontTest, UnsignedAnswerIsNotForwarded) {
-  a_.habits().unsigned_answer = true;
-  b_.habits().unsigned_answer = true;
+  a_.behaviour().unsigned_answer = true;
+  b_.behaviour().unsigned_answer = true;
   Caller* caller = RunOne(SampleRequest("fee", "id-1"));
   EXPECT_EQ(caller->status(), 502);
-  EXPECT_EQ(a_.Runs("id-1") + b_.Runs("id-1"), 1);
+  EXPECT_EQ(a_.RunCount("id-1") + b_.RunCount("id-1"), 1);
 }
 
 TEST_F(FrontTest, ResumableStreamContinuesOnAnotherEndpoint) {
   UseAsEngines();
   for (StandInEndpoint* it : {&a_, &b_}) {
-    it->habits().break_after = 2;
+    it->behaviour().abort_after = 2;
   }
   Caller* caller = nullptr;
   Run([&] {
     caller = Send(SampleRequest("ask", "id-1"));
-    Await([&] { return !a_.ran().empty() || !b_.ran().empty(); },
-          [&] {
-            (a_.ran().empty() ? a_ : b_).habits().break_after = -1;
-            AwaitOver(caller, [] { Stop(); });
-          });
+    Await(
+        [&] {
+          return !a_.started_requests().empty() ||
+                 !b_.started_requests().empty();
+        },
+        [&] {
+          (a_.started_requests().empty() ? a_ : b_).behaviour().abort_after =
+              -1;
+          AwaitOver(caller, [] { Stop(); });
+        });
   });
-  ASSERT_TRUE(caller->whole());
+  ASSERT_TRUE(caller->complete());
   EXPECT_EQ(caller->answer().body(),
             "id: 1\ndata: x\n\nid: 2\ndata: x\n\nid: 3\ndata: x\n\n"
             "id: 4\ndata: x\n\nid: 5\ndata: x\n\n");
@@ -330,23 +337,23 @@
 TEST_F(FrontTest, BrokenStreamThatIsNotResumableIsLeftIncomplete) {
   UseAsEngines();
   for (StandInEndpoint* it : {&a_, &b_}) {
-    it->habits().break_after = 2;
+    it->behaviour().abort_after = 2;
   }
   Caller* caller = RunOne(SampleRequest("report", "id-1"));
-  EXPECT_FALSE(caller->whole());
-  EXPECT_EQ(a_.Runs("id-1") + b_.Runs("id-1"), 1);
+  EXPECT_FALSE(caller->complete());
+  EXPECT_EQ(a_.RunCount("id-1") + b_.RunCount("id-1"), 1);
 }
 
 TEST_F(FrontTest, EndpointCallIsCancelledWhenCallerDisconnects) {
   UseAsEngines();
   for (StandInEndpoint* it : {&a_, &b_}) {
-    it->habits().events = 100000;
+    it->behaviour().events = 100000;
   }
   Run([&] {
     Caller* caller = Send(SampleRequest("report", "id-1"));
     Await([caller] { return caller->status() == 200; },
           [&, caller] {
-            caller->Leave();
+            caller->Disconnect();
             Await([&] { return a_.abandoned() + b_.abandoned() > 0; },
                   [] { Stop(); });
           });
@@ -364,23 +371,23 @@
     Await(
         [&] {
           return std::all_of(all.begin(), all.end(),
-                             [](Caller* it) { return it->over(); });
+                             [](Caller* it) { return it->finished(); });
         },
         [] { Stop(); });
   });
-  EXPECT_TRUE(a_.ran().empty());
-  EXPECT_EQ(b_.ran().size(), 10U);
+  EXPECT_TRUE(a_.started_requests().empty());
+  EXPECT_EQ(b_.started_requests().size(), 10U);
 }
 
 TEST_F(FrontTest, ReusedAddressRunsNoRequestOfItsFormerEndpoint) {
   // The directory still has an entry for "a" with the address on which "b" now
   // listens.
-  json stale = json::parse(b_.Entry("app", 5, false));
+  json stale = json::parse(b_.DirectoryEntry("app", 5, false));
   store_.Put(platform::kEndpointTopic, "a", stale.dump());
   store_.Put(platform::kEndpointTopic, "b", "");
   Caller* caller = RunOne(SampleRequest("fee", "id-1"));
   EXPECT_EQ(caller->status(), 503);
-  EXPECT_TRUE(b_.ran().empty());
+  EXPECT_TRUE(b_.started_requests().empty());
 }
 
 TEST_F(FrontTest, InvalidDirectoryEntriesAreIgnored) {
@@ -402,10 +409,10 @@
       // The next claim locks a share that covers requests like this one.
       Await([&] { return LockedShare() > 0; },
             [&] {
-              store_.faults().silent = true;
+              store_.faults().unresponsive = true;
               during = Send(SampleRequest("report", "id-1"));
               AwaitOver(during, [&] {
-                store_.faults().silent = false;
+                store_.faults().unresponsive = false;
                 store_.Compact(platform::kEndpointTopic);
                 store_.Compact(platform::kOperatorTopic);
                 store_.Compact(platform::kBudgetTopic);
@@ -451,17 +458,17 @@
         return;
       }
       await_readiness(503, [&] {
-        store_.faults().silent = false;
+        store_.faults().unresponsive = false;
         await_readiness(200, [] { Stop(); });
       });
     });
   };
   Run([&] {
-    store_.faults().silent = true;
+    store_.faults().unresponsive = true;
     send_again();
   });
   EXPECT_EQ(refused->status(), 503);
-  EXPECT_TRUE(a_.ran().empty() && b_.ran().empty());
+  EXPECT_TRUE(a_.started_requests().empty() && b_.started_requests().empty());
 }
 
 TEST_F(FrontTest, ClaimsSharesWhenStoreAnswersAreDelayed) {
@@ -496,9 +503,9 @@
   Caller* caller = nullptr;
   Run([&] {
     caller = Send(SampleRequest("report", "id-1"));
-    store_.faults().lose_appends = true;
+    store_.faults().lose_append_answers = true;
     AwaitOver(caller, [&] {
-      store_.faults().lose_appends = false;
+      store_.faults().lose_append_answers = false;
       const uint64_t calls = store_.calls();
       Await([this, calls] { return store_.calls() > calls + 4; },
             [&] {
@@ -511,23 +518,23 @@
   const auto claim = DecodeBudgetClaim(
       "node-1/cedar", store_.Newest(platform::kBudgetTopic, "node-1/cedar"));
   ASSERT_TRUE(claim);
-  EXPECT_EQ(claim->spent, 1025 * (a_.Runs("id-1") + b_.Runs("id-1") +
-                                  a_.Runs("id-2") + b_.Runs("id-2")));
+  EXPECT_EQ(claim->spent, 1025 * (a_.RunCount("id-1") + b_.RunCount("id-1") +
+                                  a_.RunCount("id-2") + b_.RunCount("id-2")));
   EXPECT_EQ(claim->claimed, claim->spent);
 }
 
 TEST_F(FrontTest, GracefulStopCompletesOpenStream) {
   UseAsEngines();
   for (StandInEndpoint* it : {&a_, &b_}) {
-    it->habits().events = 50;
-    it->habits().event_pause = Millis(10);
+    it->behaviour().events = 50;
+    it->behaviour().event_interval = Millis(10);
   }
   Caller* caller = nullptr;
   Run([&] {
     caller = Send(SampleRequest("report", "id-1"));
     Await([&] { return caller->status() == 200; }, [] { Stop(); });
   });
-  ASSERT_TRUE(caller->whole());
+  ASSERT_TRUE(caller->complete());
   EXPECT_EQ(caller->answer().fields().Find("X-Request-Id"), "id-1");
 }
 
@@ -537,8 +544,8 @@
   for (StandInEndpoint* it : {&a_, &b_}) {
     // The stream takes about 1.1 s, longer than the 0.9 s that remain of the
     // grace period before the reserve for the exit.
-    it->habits().events = 110;
-    it->habits().event_pause = Millis(10);
+    it->behaviour().events = 110;
+    it->behaviour().event_interval = Millis(10);
   }
   Caller* caller = nullptr;
   int64_t claimed_before = 0;
