--- a/tests/protocol/event_cutter_test.cpp
+++ b/tests/protocol/sse_splitter_test.cpp
@@ -1,4 +1,4 @@
-#include "protocol/event_cutter.h"
+#include "protocol/sse_splitter.h"
 
 #include <gtest/gtest.h>
 
@@ -6,31 +6,31 @@
 namespace {
 
 TEST(SseSplitterTest, ReturnsCompleteEventsOnly) {
-  EventCutter splitter;
+  SseSplitter splitter;
   EXPECT_EQ(splitter.Feed("id: 1\ndata: a\n\nid: 2\nda"), "id: 1\ndata: a\n\n");
-  EXPECT_EQ(splitter.last_id(), "1");
+  EXPECT_EQ(splitter.last_event_id(), "1");
   EXPECT_EQ(splitter.Feed("ta: b\n"), "");
   EXPECT_EQ(splitter.Feed("\n"), "id: 2\ndata: b\n\n");
-  EXPECT_EQ(splitter.count(), 2);
-  EXPECT_EQ(splitter.TakeRest(), "");
+  EXPECT_EQ(splitter.event_count(), 2);
+  EXPECT_EQ(splitter.TakeIncompleteEvent(), "");
 }
 
 TEST(SseSplitterTest, DropsEventsThatAResumedStreamRepeats) {
-  EventCutter splitter;
+  SseSplitter splitter;
   splitter.Feed("id: 9\ndata: a\n\nid: 10\ndata: b\n\nid: 11\nda");
   splitter.Restart();
   EXPECT_EQ(splitter.Feed("id: 10\ndata: b\n\nid: 11\ndata: c\n\n"),
             "id: 11\ndata: c\n\n");
-  EXPECT_EQ(splitter.count(), 3);
+  EXPECT_EQ(splitter.event_count(), 3);
 }
 
 TEST(SseSplitterTest, AcceptsCarriageReturnsAndEventsWithoutId) {
-  EventCutter splitter;
+  SseSplitter splitter;
   EXPECT_EQ(splitter.Feed("id:4\r\ndata: a\r\n\r\n"),
             "id:4\r\ndata: a\r\n\r\n");
-  EXPECT_EQ(splitter.last_id(), "4");
+  EXPECT_EQ(splitter.last_event_id(), "4");
   EXPECT_EQ(splitter.Feed("data: end\n\n"), "data: end\n\n");
-  EXPECT_EQ(splitter.last_id(), "4");
+  EXPECT_EQ(splitter.last_event_id(), "4");
 }
 
 }  // namespace
--- a/tests/soak/fleet_run.cpp
+++ b/tests/soak/fleet_run.cpp
@@ -53,7 +53,7 @@
     options.coordinator.ledger.hold = static_cast<double>(seed % 5) / 4;
     options.coordinator.ledger.snapshot_records = 100;
     options.coordinator.control_snapshot_records = 50;
-    options.coordinator.resweep = kSecond * 20;
+    options.coordinator.sweep_interval = kSecond * 20;
     options.log_retention = seed % 3 == 0 ? 400 : SIZE_MAX;
     return options;
   }
@@ -153,7 +153,7 @@
       case 1:
         return StartFault(
             "pause", duration, [=, this] { fleet_.Pause(instance); },
-            [=, this] { fleet_.Wake(instance); });
+            [=, this] { fleet_.Resume(instance); });
       case 2:
         return StartFault(
             "log_down", duration, [=, this] { fleet_.SetLogDown(true); },
--- a/tests/soak/process_run.cpp
+++ b/tests/soak/process_run.cpp
@@ -16,7 +16,7 @@
 #include "platform/wire_names.h"
 #include "soak/instance_process.h"
 #include "support/caller.h"
-#include "support/sample_site.h"
+#include "support/sample_config.h"
 #include "support/stand_in_endpoint.h"
 #include "support/stand_in_store.h"
 #include "transport/event_loop.h"
@@ -148,22 +148,22 @@
     it.service = service;
     it.stand_in = std::make_unique<StandInEndpoint>(
         &loop_, absl::StrCat(service, "-", endpoints_.size()));
-    it.stand_in->habits() = DefaultBehaviour();
+    it.stand_in->behaviour() = DefaultBehaviour();
     it.link = std::make_unique<FaultProxy>(&loop_, it.stand_in->address());
     PublishEndpoint(&it);
   }
 
   static StandInEndpoint::Behaviour DefaultBehaviour() {
     StandInEndpoint::Behaviour behaviour;
-    behaviour.event_pause = kEventInterval;
+    behaviour.event_interval = kEventInterval;
     return behaviour;
   }
 
   void PublishEndpoint(Endpoint* it) {
     store_.Put(platform::kEndpointTopic, it->stand_in->id(),
-               it->stand_in->Entry(it->service, ++it->sequence,
-                                   it->draining_since > Millis(0),
-                                   it->link->address()));
+               it->stand_in->DirectoryEntry(it->service, ++it->sequence,
+                                            it->draining_since > Millis(0),
+                                            it->link->address()));
   }
 
   // --- Faults ----------------------------------------------------------------
@@ -298,10 +298,10 @@
         faults.refuse = true;
         break;
       case 1:
-        faults.silent = true;
+        faults.unresponsive = true;
         break;
       case 2:
-        faults.lose_appends = true;
+        faults.lose_append_answers = true;
         break;
       default:
         faults.delay = Millis(150);
@@ -340,13 +340,13 @@
   void MakeRandomEndpointMisbehave() {
     Endpoint& it = endpoints_[RandomBelow(static_cast<int>(endpoints_.size()))];
     endpoints_disturbed_at_ = loop_.Now();
-    StandInEndpoint::Behaviour& behaviour = it.stand_in->habits();
+    StandInEndpoint::Behaviour& behaviour = it.stand_in->behaviour();
     switch (RandomBelow(5)) {
       case 0:
         behaviour.refuse = true;
         break;
       case 1:
-        behaviour.silent = true;
+        behaviour.unresponsive = true;
         break;
       case 2:
         behaviour.fail = true;
@@ -355,11 +355,11 @@
         behaviour.unsigned_answer = true;
         break;
       default:
-        behaviour.break_after = 2;
+        behaviour.abort_after = 2;
     }
     loop_.After(RandomTime(100, 1500), [this, &it] {
       endpoints_disturbed_at_ = loop_.Now();
-      it.stand_in->habits() = DefaultBehaviour();
+      it.stand_in->behaviour() = DefaultBehaviour();
     });
   }
 
@@ -371,7 +371,7 @@
     }
     store_.faults() = {};
     for (Endpoint& it : endpoints_) {
-      it.stand_in->habits() = DefaultBehaviour();
+      it.stand_in->behaviour() = DefaultBehaviour();
       it.link->SetMode(FaultProxy::Mode::kPass);
     }
     prepaid_tokens_ += 1000 * kSampleStreamTokens;
@@ -446,7 +446,7 @@
     }
     std::vector<Call> open;
     for (Call& it : calls_) {
-      if (it.caller->over() || loop_.Now() - it.sent > Millis(6000)) {
+      if (it.caller->finished() || loop_.Now() - it.sent > Millis(6000)) {
         FinishCall(&it);
       } else {
         open.push_back(std::move(it));
@@ -458,7 +458,7 @@
 
   void FinishCall(Call* call) {
     Caller& caller = *call->caller;
-    const int status = caller.whole() ? caller.status() : 0;
+    const int status = caller.complete() ? caller.status() : 0;
     ++report_.answers[status];
     status_by_id_[call->id] = status;
     Instance& it = instances_[call->instance];
@@ -495,7 +495,7 @@
   }
 
   void CheckNewRuns(Endpoint* it) {
-    const auto& ran = it->stand_in->ran();
+    const auto& ran = it->stand_in->started_requests();
     for (; it->checked_requests < ran.size(); ++it->checked_requests) {
       const std::string id(
           ran[it->checked_requests].fields.Find("X-Request-Id").value_or(""));
@@ -571,7 +571,7 @@
   void AwaitCaller(const std::shared_ptr<Caller>& caller,
                    int polls_left,
                    const std::function<void()>& then) {
-    if (caller->over() || polls_left == 0) {
+    if (caller->finished() || polls_left == 0) {
       then();
       return;
     }
--- a/tests/standins/main.cpp
+++ b/tests/standins/main.cpp
@@ -24,7 +24,7 @@
     return std::make_unique<tamaracktrail::StandInLog>();
   }
   if (kind == "list") {
-    return std::make_unique<tamaracktrail::StandInList>();
+    return std::make_unique<tamaracktrail::StandInInstanceList>();
   }
   if (kind == "weights") {
     return std::make_unique<tamaracktrail::StandInWeights>();
--- a/tests/state/ledger_fold_test.cpp
+++ b/tests/state/ledger_fold_test.cpp
@@ -99,27 +99,27 @@
 TEST_F(LedgerFoldTest, ClaimAfterVoidOfClaimedRunIsRejected) {
   Apply(TopUp{"org", "a", 100, ""});
   Apply(Draw{"org", kHolder, 50});
-  Apply(Claim{"org", "fee", 1, 0, "records"});
+  Apply(RunClaim{"org", "fee", 1, 0, "records"});
   Apply(MakeCharge("fee", 2, 1));
   Apply(Void{"org", "fee", 1});
   EXPECT_EQ(Phase("fee"), KeyState::Phase::kDone);
-  EXPECT_EQ(Apply(Claim{"org", "fee", 2, 0, "records"}),
+  EXPECT_EQ(Apply(RunClaim{"org", "fee", 2, 0, "records"}),
             FoldVerdict::kLostRace);
 }
 
 TEST_F(LedgerFoldTest, FirstClaimWinsUntilItIsAbandoned) {
-  EXPECT_EQ(Apply(Claim{"org", "fee", 1, 0, ""}), FoldVerdict::kAccepted);
-  EXPECT_EQ(Apply(Claim{"org", "fee", 2, 0, ""}), FoldVerdict::kLostRace);
+  EXPECT_EQ(Apply(RunClaim{"org", "fee", 1, 0, ""}), FoldVerdict::kAccepted);
+  EXPECT_EQ(Apply(RunClaim{"org", "fee", 2, 0, ""}), FoldVerdict::kLostRace);
   Apply(Abandon{"org", "fee", 2});
   EXPECT_EQ(Phase("fee"), KeyState::Phase::kClaimed);
   Apply(Abandon{"org", "fee", 1});
-  EXPECT_EQ(Apply(Claim{"org", "fee", 3, 0, ""}), FoldVerdict::kAccepted);
+  EXPECT_EQ(Apply(RunClaim{"org", "fee", 3, 0, ""}), FoldVerdict::kAccepted);
 }
 
 TEST_F(LedgerFoldTest, AbandonBeforeItsClaimVoidsTheClaim) {
   Apply(Abandon{"org", "fee", 1});
-  EXPECT_EQ(Apply(Claim{"org", "fee", 1, 0, ""}), FoldVerdict::kLostRace);
-  EXPECT_EQ(Apply(Claim{"org", "fee", 2, 0, ""}), FoldVerdict::kAccepted);
+  EXPECT_EQ(Apply(RunClaim{"org", "fee", 1, 0, ""}), FoldVerdict::kLostRace);
+  EXPECT_EQ(Apply(RunClaim{"org", "fee", 2, 0, ""}), FoldVerdict::kAccepted);
 }
 
 TEST_F(LedgerFoldTest, ReleaseKeepsTokensThatOthersAccountFor) {
@@ -143,11 +143,11 @@
 TEST_F(LedgerFoldTest, TimedKeysExpireAndOpaqueClaimsDoNot) {
   const std::string timed = "018bcfe5-6800-7000-8000-000000000000";
   Apply(TopUp{"org", "a", 100, ""});
-  Apply(Claim{"org", "opaque", 1, 0, ""});
-  Apply(Claim{"org", timed, 2, 0, ""});
+  Apply(RunClaim{"org", "opaque", 1, 0, ""});
+  Apply(RunClaim{"org", timed, 2, 0, ""});
   for (int i = 0; i < 70; ++i) {
     wall_ = wall_ + kMinute;
-    Apply(Want{"org", kHolder, 1});
+    Apply(ShareRequest{"org", kHolder, 1});
   }
   fold_.Trim();
   EXPECT_EQ(Phase("opaque"), KeyState::Phase::kClaimed);
--- a/tests/state/stream_view_test.cpp
+++ b/tests/state/stream_view_test.cpp
@@ -29,7 +29,7 @@
   const LogEntry first = Entry(1, 1, "", {TopUp{"org", "a", 5, ""}});
   view_.Feed(first);
   EXPECT_TRUE(view_.Feed({2, first.payload}).empty());
-  EXPECT_EQ(view_.repeats(), 1u);
+  EXPECT_EQ(view_.repeated_batches(), 1u);
   EXPECT_EQ(view_.fold().BudgetOf("org").prepaid, 5);
 }
 
@@ -40,7 +40,7 @@
     bad.payload[i] = static_cast<char>(bad.payload[i] ^ 1);
     StreamView<LedgerFold> view(&codec_, LedgerFold(kHour));
     view.Feed(bad);
-    EXPECT_EQ(view.dropped(), 1u) << "byte " << i;
+    EXPECT_EQ(view.dropped_batches(), 1u) << "byte " << i;
   }
 }
 
@@ -50,7 +50,7 @@
   const std::string digest = BatchCodec::ChainDigest(first.payload);
   view_.Feed(Entry(2, 3, digest, {TopUp{"org", "a", 5, ""}}));
   view_.Feed(Entry(3, 2, "other", {TopUp{"org", "b", 5, ""}}));
-  EXPECT_EQ(view_.dropped(), 2u);
+  EXPECT_EQ(view_.dropped_batches(), 2u);
   EXPECT_EQ(view_.fold().BudgetOf("org").prepaid, 0);
   view_.Feed(Entry(4, 2, digest, {TopUp{"org", "c", 5, ""}}));
   EXPECT_EQ(view_.fold().BudgetOf("org").prepaid, 5);
@@ -103,11 +103,12 @@
   EXPECT_EQ(fold.Apply(Trial{"c", 2, 0}, context), FoldVerdict::kAccepted);
   EXPECT_EQ(fold.Apply(Trial{"c", 3, 0}, context), FoldVerdict::kLostRace);
   EXPECT_EQ(fold.CrashCount("c"), 1u);
-  EXPECT_EQ(fold.Apply(Acquit{"c", 3, true}, context), FoldVerdict::kLostRace);
-  fold.Apply(Acquit{"c", 2, false}, context);
+  EXPECT_EQ(fold.Apply(TrialEnd{"c", 3, true}, context),
+            FoldVerdict::kLostRace);
+  fold.Apply(TrialEnd{"c", 2, false}, context);
   EXPECT_EQ(fold.CrashCount("c"), 1u);
   EXPECT_EQ(fold.Apply(Trial{"c", 4, 0}, context), FoldVerdict::kAccepted);
-  fold.Apply(Acquit{"c", 4, true}, context);
+  fold.Apply(TrialEnd{"c", 4, true}, context);
   EXPECT_EQ(fold.CrashCount("c"), 0u);
 }
 
--- a/tests/support/caller.cpp
+++ b/tests/support/caller.cpp
@@ -38,7 +38,7 @@
 }
 
 bool Caller::reusable() const {
-  return whole() && !connection_ended_ && stream_ != nullptr &&
+  return complete() && !connection_ended_ && stream_ != nullptr &&
          reader_->fields().Find("Connection") != "close";
 }
 
@@ -49,7 +49,7 @@
   if (!reader_->Feed(&input_).ok()) {
     malformed_ = true;
   }
-  if (result == TcpStream::ReadResult::kEnd ||
+  if (result == TcpStream::ReadResult::kEndOfStream ||
       result == TcpStream::ReadResult::kFailed) {
     connection_ended_ = true;
     stream_.reset();
--- a/tests/support/caller.h
+++ b/tests/support/caller.h
@@ -24,10 +24,12 @@
   void SendAnother(const std::string& request);
 
   //! Closes the connection without waiting for the answer.
-  void Leave() { stream_.reset(); }
+  void Disconnect() { stream_.reset(); }
 
-  bool whole() const { return reader_->done() && !malformed_; }
-  bool over() const { return whole() || connection_ended_ || malformed_; }
+  bool complete() const { return reader_->done() && !malformed_; }
+  bool finished() const {
+    return complete() || connection_ended_ || malformed_;
+  }
   bool reusable() const;
   int status() const { return reader_->head_done() ? reader_->status() : 0; }
   HttpReader& answer() { return *reader_; }
--- a/tests/support/fake_fleet.cpp
+++ b/tests/support/fake_fleet.cpp
@@ -19,7 +19,7 @@
 
 FakeFleet::FakeFleet(const Options& options)
     : options_(options), random_(options.seed), codec_("a key for tests") {
-  log_.set_keep(options.log_retention);
+  log_.set_retained_entries(options.log_retention);
   for (int centre = 0; centre < options.data_centres; ++centre) {
     for (int i = 0; i < options.instances; ++i) {
       Node node;
@@ -111,7 +111,8 @@
           }
         }
         CheckExits(i);
-        for (const auto& [stream, from] : node.coordinator->Reads(now())) {
+        for (const auto& [stream, from] :
+             node.coordinator->StreamsToRead(now())) {
           ReadStream(i, stream, from);
         }
         if (node.draining && node.flows.empty() &&
@@ -121,7 +122,7 @@
             return;
           }
           node.exit_queued = true;
-          node.coordinator->Leave();
+          node.coordinator->QueueExit();
         }
         Tick(i);
       },
@@ -134,7 +135,7 @@
     return;
   }
   node.coordinator->TakeExited();
-  for (const Outbox::Letter& it : node.coordinator->TakeLetters()) {
+  for (const Outbox::Message& it : node.coordinator->TakeMessages()) {
     Send(i, it);
   }
   for (const auto& [address, heartbeat] :
@@ -153,7 +154,7 @@
       }
     }
   }
-  for (const Coordinator::AppendOrder& it :
+  for (const Coordinator::StreamAppend& it :
        node.coordinator->TakeAppends(now(), WallNow())) {
     AppendToLog(i, it);
   }
@@ -162,7 +163,7 @@
   }
 }
 
-void FakeFleet::Send(size_t from, const Outbox::Letter& letter) {
+void FakeFleet::Send(size_t from, const Outbox::Message& letter) {
   for (size_t to = 0; to < nodes_.size(); ++to) {
     const bool lost =
         cut_links_.contains({from, to}) || Chance(lost_message_rate_);
@@ -184,7 +185,7 @@
   return !log_down_ && !data_centres_cut_from_log_.contains(node.centre);
 }
 
-void FakeFleet::AppendToLog(size_t i, const Coordinator::AppendOrder& order) {
+void FakeFleet::AppendToLog(size_t i, const Coordinator::StreamAppend& order) {
   const int64_t latency = options_.log_latency.count();
   // Not bound to the instance: an append that was sent takes effect even if the
   // instance is killed.
@@ -228,7 +229,8 @@
 
 void FakeFleet::CheckExits(size_t i) {
   Node& node = nodes_[i];
-  for (const auto& [address, incarnation] : node.coordinator->Silent(now())) {
+  for (const auto& [address, incarnation] :
+       node.coordinator->UnresponsiveMembers(now())) {
     for (const Node& it : nodes_) {
       // Evidence of an exit is a refused connection or an answer of another
       // incarnation. A paused or unreachable process gives neither.
@@ -328,8 +330,8 @@
     coordinator.Settle(now(), settle->request);
   } else if (const auto* withdraw = std::get_if<WithdrawCharge>(&action)) {
     coordinator.Withdraw(now(), withdraw->charge);
-  } else if (const auto* note = std::get_if<NoteRecord>(&action)) {
-    coordinator.Note(outcomes_[attempt].organisation, note->record);
+  } else if (const auto* note = std::get_if<AppendRecord>(&action)) {
+    coordinator.AppendRecord(outcomes_[attempt].organisation, note->record);
   } else if (const auto* finish = std::get_if<FinishRequest>(&action)) {
     CallOutcome& outcome = outcomes_[attempt];
     outcome.done = true;
@@ -355,7 +357,7 @@
   if (fraction < cut_call_rate_ / 3) {
     event.kind = UpstreamEvent::Kind::kRefused;
   } else if (fraction < cut_call_rate_) {
-    event.kind = UpstreamEvent::Kind::kCut;
+    event.kind = UpstreamEvent::Kind::kConnectionLost;
     outcomes_[attempt].runs += Chance(0.5) ? 1 : 0;
   } else {
     event.kind = UpstreamEvent::Kind::kEnd;
@@ -437,7 +439,7 @@
   nodes_[instance].paused = nodes_[instance].alive;
 }
 
-void FakeFleet::Wake(size_t instance) {
+void FakeFleet::Resume(size_t instance) {
   Node& node = nodes_[instance];
   if (!node.paused) {
     return;
@@ -482,7 +484,7 @@
   lost_message_rate_ = 0;
   cut_call_rate_ = 0;
   for (size_t i = 0; i < nodes_.size(); ++i) {
-    Wake(i);
+    Resume(i);
     Restart(i);
   }
 }
--- a/tests/support/fake_fleet.h
+++ b/tests/support/fake_fleet.h
@@ -66,7 +66,7 @@
   void Kill(size_t instance);
   void Restart(size_t instance);
   void Pause(size_t instance);
-  void Wake(size_t instance);
+  void Resume(size_t instance);
   void Drain(size_t instance);
   void SetLogDown(bool down) { log_down_ = down; }
   void CutFromLog(int data_centre, bool cut);
@@ -144,8 +144,8 @@
   void RunOn(size_t i, std::function<void(Node&)> event, Millis delay);
   void Tick(size_t i);
   void Flush(size_t i);
-  void Send(size_t from, const Outbox::Letter& letter);
-  void AppendToLog(size_t i, const Coordinator::AppendOrder& order);
+  void Send(size_t from, const Outbox::Message& letter);
+  void AppendToLog(size_t i, const Coordinator::StreamAppend& order);
   void ReadStream(size_t i, const std::string& stream, uint64_t from);
   void CheckExits(size_t i);
   void HandleNotice(size_t i, const EntryNotice& notice);
--- a/tests/support/fake_log.h
+++ b/tests/support/fake_log.h
@@ -55,7 +55,7 @@
     return streams_;
   }
 
-  void set_keep(size_t entries) { retained_entries_ = entries; }
+  void set_retained_entries(size_t entries) { retained_entries_ = entries; }
   uint64_t appends() const { return appends_; }
   uint64_t bytes() const { return bytes_; }
 
--- a/tests/support/fault_proxy.cpp
+++ b/tests/support/fault_proxy.cpp
@@ -78,7 +78,7 @@
       Close(true);
       return;
     }
-    const bool end_received = result == TcpStream::ReadResult::kEnd;
+    const bool end_received = result == TcpStream::ReadResult::kEndOfStream;
     if (end_received) {
       from->stream->PauseReading(true);
     }
@@ -104,7 +104,7 @@
   //! Closes both connections once the other side has closed and all its bytes
   //! are sent.
   void CloseAfterLastByte(Side* to) {
-    if (to->end_received && to->stream && to->stream->pending() == 0) {
+    if (to->end_received && to->stream && to->stream->pending_bytes() == 0) {
       Close(false);
     }
   }
--- a/tests/support/fault_proxy_test.cpp
+++ b/tests/support/fault_proxy_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 
 #include "support/caller.h"
-#include "support/sample_site.h"
+#include "support/sample_config.h"
 #include "support/stand_in_endpoint.h"
 #include "transport/event_loop.h"
 
@@ -28,15 +28,15 @@
   Caller caller(&loop_, proxy_.address(), SampleRequest("fee", "1"));
   RunFor(Millis(100));
   EXPECT_EQ(caller.status(), 200);
-  EXPECT_TRUE(caller.whole());
+  EXPECT_TRUE(caller.complete());
 }
 
 TEST_F(FaultProxyTest, StallHoldsBytesUntilPassMode) {
   proxy_.SetMode(FaultProxy::Mode::kStallToClient);
   Caller caller(&loop_, proxy_.address(), SampleRequest("fee", "1"));
   RunFor(Millis(100));
-  EXPECT_EQ(server_.Runs("1"), 1);
-  EXPECT_FALSE(caller.over());
+  EXPECT_EQ(server_.RunCount("1"), 1);
+  EXPECT_FALSE(caller.finished());
   proxy_.SetMode(FaultProxy::Mode::kPass);
   RunFor(Millis(100));
   EXPECT_EQ(caller.status(), 200);
@@ -48,8 +48,8 @@
   RunFor(Millis(50));
   proxy_.SetMode(FaultProxy::Mode::kPass);
   RunFor(Millis(100));
-  EXPECT_EQ(server_.Runs("1"), 0);
-  EXPECT_FALSE(caller.over());
+  EXPECT_EQ(server_.RunCount("1"), 0);
+  EXPECT_FALSE(caller.finished());
   Caller next(&loop_, proxy_.address(), SampleRequest("fee", "2"));
   RunFor(Millis(100));
   EXPECT_EQ(next.status(), 200);
@@ -59,8 +59,8 @@
   proxy_.SetMode(FaultProxy::Mode::kReset);
   Caller caller(&loop_, proxy_.address(), SampleRequest("fee", "1"));
   RunFor(Millis(100));
-  EXPECT_TRUE(caller.over());
-  EXPECT_FALSE(caller.whole());
+  EXPECT_TRUE(caller.finished());
+  EXPECT_FALSE(caller.complete());
 }
 
 }  // namespace
--- a/tests/support/sample_site.cpp
+++ b/tests/support/sample_config.cpp
@@ -1,4 +1,4 @@
-#include "support/sample_site.h"
+#include "support/sample_config.h"
 
 #include <nlohmann/json.hpp>
 
--- a/tests/support/sample_site.h
+++ b/tests/support/sample_config.h
@@ -1,5 +1,5 @@
-#ifndef TESTS_SUPPORT_SAMPLE_SITE_H_
-#define TESTS_SUPPORT_SAMPLE_SITE_H_
+#ifndef TESTS_SUPPORT_SAMPLE_CONFIG_H_
+#define TESTS_SUPPORT_SAMPLE_CONFIG_H_
 
 #include <cstdint>
 #include <string>
@@ -29,4 +29,4 @@
 
 }  // namespace tamaracktrail
 
-#endif  // TESTS_SUPPORT_SAMPLE_SITE_H_
+#endif  // TESTS_SUPPORT_SAMPLE_CONFIG_H_
--- a/tests/support/stand_in_endpoint.cpp
+++ b/tests/support/stand_in_endpoint.cpp
@@ -41,7 +41,7 @@
     }
     endpoint_->started_requests_.push_back(request_);
     running_ = true;
-    if (behaviour.silent) {
+    if (behaviour.unresponsive) {
       return;
     }
     if (behaviour.fail) {
@@ -86,10 +86,10 @@
 
   void SendNextEvent() {
     const Behaviour& behaviour = endpoint_->behaviour_;
-    if (behaviour.break_after >= 0 && next_event_ >= behaviour.break_after) {
+    if (behaviour.abort_after >= 0 && next_event_ >= behaviour.abort_after) {
       running_ = false;
       connection_->WriteBody("id: 99\nda");
-      connection_->BreakOff();
+      connection_->Abort();
       return;
     }
     if (next_event_ >= behaviour.events) {
@@ -99,7 +99,7 @@
     }
     ++next_event_;
     connection_->WriteBody(absl::StrCat("id: ", next_event_, "\ndata: x\n\n"));
-    timer_ = endpoint_->loop_->After(behaviour.event_pause,
+    timer_ = endpoint_->loop_->After(behaviour.event_interval,
                                      [this] { SendNextEvent(); });
   }
 
@@ -125,10 +125,10 @@
 
 StandInEndpoint::~StandInEndpoint() = default;
 
-std::string StandInEndpoint::Entry(const std::string& service,
-                                   int64_t sequence,
-                                   bool draining,
-                                   const std::string& address) const {
+std::string StandInEndpoint::DirectoryEntry(const std::string& service,
+                                            int64_t sequence,
+                                            bool draining,
+                                            const std::string& address) const {
   return nlohmann::json{{"service", service},
                         {"address", address.empty() ? address_ : address},
                         {"zone", "dc-1"},
@@ -141,7 +141,7 @@
       .dump();
 }
 
-int StandInEndpoint::Runs(const std::string& request_id) const {
+int StandInEndpoint::RunCount(const std::string& request_id) const {
   return static_cast<int>(
       std::count_if(started_requests_.begin(), started_requests_.end(),
                     [&](const CallerRequest& it) {
--- a/tests/support/stand_in_endpoint.h
+++ b/tests/support/stand_in_endpoint.h
@@ -23,12 +23,12 @@
   //! How requests are answered.
   struct Behaviour {
     int events = 5;                //!< Number of events in a stream.
-    Millis event_pause{2};         //!< Between two events.
+    Millis event_interval{2};      //!< Between two events.
     bool refuse = false;           //!< Answers 503, marked as not run.
     bool fail = false;             //!< Answers 500, signed by the endpoint.
-    bool silent = false;           //!< Runs the request and never answers.
+    bool unresponsive = false;     //!< Runs the request and never answers.
     bool unsigned_answer = false;  //!< Answers without a signature.
-    int break_after = -1;  //!< Events before a stream is aborted; -1: never.
+    int abort_after = -1;  //!< Events before a stream is aborted; -1: never.
   };
 
   //! Listens on a free port of 127.0.0.1.
@@ -37,19 +37,21 @@
 
   const std::string& id() const { return id_; }
   const std::string& address() const { return address_; }
-  Behaviour& habits() { return behaviour_; }
+  Behaviour& behaviour() { return behaviour_; }
 
   //! The endpoint's directory entry as JSON. An empty `address` stands for the
   //! endpoint's own.
-  std::string Entry(const std::string& service,
-                    int64_t sequence,
-                    bool draining,
-                    const std::string& address = "") const;
+  std::string DirectoryEntry(const std::string& service,
+                             int64_t sequence,
+                             bool draining,
+                             const std::string& address = "") const;
 
   //! Requests whose work was started, in order.
-  const std::vector<CallerRequest>& ran() const { return started_requests_; }
+  const std::vector<CallerRequest>& started_requests() const {
+    return started_requests_;
+  }
   //! How often the request with this id was run.
-  int Runs(const std::string& request_id) const;
+  int RunCount(const std::string& request_id) const;
   //! Number of running requests whose connection was closed before the end.
   int abandoned() const { return abandoned_; }
 
--- a/tests/support/stand_in_services.cpp
+++ b/tests/support/stand_in_services.cpp
@@ -57,9 +57,9 @@
         json{{"path", path}, {"request", id}, {"receipt", run_count}});
 }
 
-void StandInList::OnRequest(SoupServerMessage* message,
-                            const std::string&,
-                            const Query&) {
+void StandInInstanceList::OnRequest(SoupServerMessage* message,
+                                    const std::string&,
+                                    const Query&) {
   if (ControlValue("outage", false)) {
     Reply(message, 503, json{{"error", "outage"}});
     return;
@@ -67,7 +67,7 @@
   Reply(message, 200, json{{"instances", visible_instances_}});
 }
 
-void StandInList::OnControl() {
+void StandInInstanceList::OnControl() {
   After(ControlValue("lag_ms", int64_t{0}), [this] {
     visible_instances_ = ControlValue("instances", json::array());
   });
--- a/tests/support/stand_in_services.h
+++ b/tests/support/stand_in_services.h
@@ -29,7 +29,7 @@
 
 //! The platform's list of instances. Changes become visible after "lag_ms".
 //! Control keys: "instances" (array), "outage", "lag_ms".
-class StandInList : public StandInServer {
+class StandInInstanceList : public StandInServer {
  private:
   void OnRequest(SoupServerMessage* message,
                  const std::string& path,
--- a/tests/support/stand_in_store.cpp
+++ b/tests/support/stand_in_store.cpp
@@ -54,7 +54,7 @@
       }
     }
     start_time_ = store_->loop_->Now();
-    if (store_->faults_.silent) {
+    if (store_->faults_.unresponsive) {
       return;
     }
     timer_ = store_->loop_->After(store_->faults_.delay, [this] { Run(); });
@@ -70,7 +70,7 @@
     }
     if (path_ == platform::kAppendPath) {
       const Answer answer = store_->Append(query_, *request_.body);
-      if (!store_->faults_.lose_appends) {
+      if (!store_->faults_.lose_append_answers) {
         Reply(answer);
       }
       return;
--- a/tests/support/stand_in_store.h
+++ b/tests/support/stand_in_store.h
@@ -23,8 +23,9 @@
   //! Faults of calls; they can be combined.
   struct Faults {
     bool refuse = false;        //!< Answers 503 without effect.
-    bool silent = false;        //!< No answer and no effect.
-    bool lose_appends = false;  //!< Appends take effect and get no answer.
+    bool unresponsive = false;  //!< No answer and no effect.
+    bool lose_append_answers =
+        false;  //!< Appends take effect and get no answer.
     Millis delay;
   };
 
--- a/tests/transport/log_service_test.cpp
+++ b/tests/transport/log_service_test.cpp
@@ -30,7 +30,7 @@
             ReadDone done) {
     done(LogPage{log_.Read(stream, from, max_entries), log_.End(stream)});
   }
-  void SetRetention(size_t n) { log_.set_keep(n); }
+  void SetRetention(size_t n) { log_.set_retained_entries(n); }
 
  private:
   FakeLog log_;
@@ -166,7 +166,7 @@
 }
 
 TEST(PlatformTest, FetchesInstancesAndReportsWeightStoreRateLimit) {
-  StandInList list;
+  StandInInstanceList list;
   StandInWeights weights;
   HttpClient client;
   const std::string local = "http://127.0.0.1:";
--- a/tests/transport/relay_units_test.cpp
+++ b/tests/transport/relay_units_test.cpp
@@ -17,10 +17,10 @@
 #include "transport/metrics.h"
 #include "transport/peer_exchange.h"
 #include "transport/peer_gossip.h"
+#include "transport/relay/connection_pool.h"
 #include "transport/relay/endpoint_call.h"
-#include "transport/relay/endpoint_pool.h"
+#include "transport/relay/fixed_answer_task.h"
 #include "transport/relay/relay_server.h"
-#include "transport/relay/simple_task.h"
 #include "transport/socket_address.h"
 
 namespace tamaracktrail {
@@ -148,7 +148,7 @@
 
 TEST_P(EndpointCallTest, OnlyOwnCompleteAnswerSucceeds) {
   EventLoop loop;
-  EndpointPool pool(&loop, [](uint64_t) {});
+  ConnectionPool pool(&loop, [](uint64_t) {});
   RawServer server(&loop, GetParam().bytes);
   RecordingObserver observer(&loop);
   EndpointCall::Options options;
@@ -198,7 +198,7 @@
 
 TEST(EndpointCallTest, RefusedConnectionFailsWithNothingSent) {
   EventLoop loop;
-  EndpointPool pool(&loop, [](uint64_t) {});
+  ConnectionPool pool(&loop, [](uint64_t) {});
   RecordingObserver observer(&loop);
   EndpointCall::Options options;
   options.address = FreeAddress();
@@ -262,8 +262,8 @@
                   [](const auto&) {
                     ADD_FAILURE() << "the peer has no endpoint records";
                   }});
-  b.AskEndpoints(address_a);
-  b.AskConfig(address_a);
+  b.FetchEndpoints(address_a);
+  b.FetchConfig(address_a);
   loop.After(Millis(2000), [&] { loop.Quit(); });
   loop.Run();
   EXPECT_EQ(fetched, stored);
