--- a/bench/hot_path.cpp
+++ b/bench/hot_path.cpp
@@ -16,16 +16,16 @@
 namespace {
 
 Charge MakeCharge(uint64_t n) {
-  Charge it;
-  it.organisation = "org" + std::to_string(n % 100);
-  it.key = "018bcfe5-6800-7000-8000-" + std::to_string(100000000000 + n);
-  it.holder = 7;
-  it.entry = 9;
-  it.attempt = n + 1;
-  it.service = "assistant";
-  it.endpoint = "engine-a1";
-  it.tokens = 300;
-  return it;
+  Charge charge;
+  charge.organisation = "org" + std::to_string(n % 100);
+  charge.key = "018bcfe5-6800-7000-8000-" + std::to_string(100000000000 + n);
+  charge.holder = 7;
+  charge.entry = 9;
+  charge.attempt = n + 1;
+  charge.service = "assistant";
+  charge.endpoint = "engine-a1";
+  charge.tokens = 300;
+  return charge;
 }
 
 void ChooseEndpoint(benchmark::State& state) {
@@ -35,8 +35,8 @@
     specs.push_back({"e" + std::to_string(i), "", "s", "dc", 16, true});
   }
   table.SetSpecs(specs);
-  for (const EndpointSpec& it : specs) {
-    table.Observe({it.name, EndpointHealth::kUp, 3, "", {}, Millis(1000)});
+  for (const EndpointSpec& spec : specs) {
+    table.Observe({spec.name, EndpointHealth::kUp, 3, "", {}, Millis(1000)});
   }
   Random random(1);
   const AffinityChoice choice;
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -8,60 +8,62 @@
 #include "absl/flags/flag.h"
 #include "absl/flags/parse.h"
 
-ABSL_FLAG(std::string, url, "", "Completion URL.");
-ABSL_FLAG(std::string, token, "", "Bearer token.");
-ABSL_FLAG(int, requests, 2000, "Requests in all.");
-ABSL_FLAG(int, streams, 32, "Requests open at once.");
-ABSL_FLAG(int, words, 4, "Words of each answer.");
+ABSL_FLAG(std::string, url, "", "URL of the chat completions path.");
+ABSL_FLAG(std::string, token, "", "Bearer token of the Authorization header.");
+ABSL_FLAG(int, requests, 2000, "Total number of requests.");
+ABSL_FLAG(int, streams, 32, "Number of concurrent requests.");
+ABSL_FLAG(int, words, 4, "Number of words that each answer is asked to have.");
 
 namespace {
 
-//! Sends streamed completions and measures the time to the first byte.
-class Load {
+//! Sends streamed completions with a fixed number of concurrent requests and
+//! measures the time to the response headers.
+class LoadGenerator {
  public:
-  Load()
+  LoadGenerator()
       : session_(soup_session_new_with_options("max-conns",
                                                4096,
                                                "max-conns-per-host",
                                                4096,
                                                nullptr)),
         url_(absl::GetFlag(FLAGS_url)),
-        left_(absl::GetFlag(FLAGS_requests)) {}
+        remaining_(absl::GetFlag(FLAGS_requests)) {}
 
   void Run() {
-    const gint64 start = g_get_monotonic_time();
+    const gint64 start_us = g_get_monotonic_time();
     for (int i = 0; i < absl::GetFlag(FLAGS_streams); ++i) {
-      Next();
+      SendNext();
     }
-    while (open_ > 0) {
+    while (open_requests_ > 0) {
       g_main_context_iteration(nullptr, TRUE);
     }
     const double seconds =
-        static_cast<double>(g_get_monotonic_time() - start) / 1e6;
-    std::sort(first_.begin(), first_.end());
-    const auto at = [&](double part) {
-      return first_[static_cast<size_t>(
-          part * static_cast<double>(first_.size() - 1))];
+        static_cast<double>(g_get_monotonic_time() - start_us) / 1e6;
+    std::sort(latencies_us_.begin(), latencies_us_.end());
+    const auto percentile = [&](double quantile) {
+      return latencies_us_[static_cast<size_t>(
+          quantile * static_cast<double>(latencies_us_.size() - 1))];
     };
-    std::cout << "ok=" << first_.size() << " failed=" << failed_
-              << " per_second=" << static_cast<double>(first_.size()) / seconds
-              << " first_p50_us=" << at(0.5) << " first_p95_us=" << at(0.95)
-              << std::endl;
+    std::cout << "ok=" << latencies_us_.size() << " failed=" << failed_requests_
+              << " per_second="
+              << static_cast<double>(latencies_us_.size()) / seconds
+              << " first_p50_us=" << percentile(0.5)
+              << " first_p95_us=" << percentile(0.95) << std::endl;
   }
 
  private:
   struct Call {
-    Load* load;
+    LoadGenerator* generator;
     SoupMessage* message;
-    gint64 start;
+    gint64 start_us;
   };
 
-  void Next() {
-    if (left_ == 0) {
+  void SendNext() {
+    if (remaining_ == 0) {
       return;
     }
-    --left_;
-    ++open_;
+    --remaining_;
+    ++open_requests_;
     SoupMessage* message = soup_message_new("POST", url_.c_str());
     soup_message_add_flags(message, SOUP_MESSAGE_IDEMPOTENT);
     SoupMessageHeaders* headers = soup_message_get_request_headers(message);
@@ -72,72 +74,76 @@
         R"({"model":"report-writer","stream":true,"max_tokens":16,)"
         R"("messages":[{"role":"user","content":"load words=)" +
         std::to_string(absl::GetFlag(FLAGS_words)) + " " +
-        std::to_string(left_ % 64) + R"("}]})";
+        std::to_string(remaining_ % 64) + R"("}]})";
     GBytes* bytes = g_bytes_new(body.data(), body.size());
     soup_message_set_request_body_from_bytes(message, "application/json",
                                              bytes);
     g_bytes_unref(bytes);
     soup_session_send_async(session_, message, G_PRIORITY_DEFAULT, nullptr,
-                            OnFirst,
+                            OnResponseHeaders,
                             new Call{this, message, g_get_monotonic_time()});
   }
 
-  static void OnFirst(GObject* session, GAsyncResult* result, gpointer data) {
+  static void OnResponseHeaders(GObject* session,
+                                GAsyncResult* result,
+                                gpointer data) {
     auto* call = static_cast<Call*>(data);
     GInputStream* stream =
         soup_session_send_finish(SOUP_SESSION(session), result, nullptr);
     const bool ok =
         stream != nullptr && soup_message_get_status(call->message) == 200;
     if (!ok) {
-      ++call->load->failed_;
+      ++call->generator->failed_requests_;
       g_clear_object(&stream);
-      call->load->End(call);
+      call->generator->Finish(call);
       return;
     }
-    call->load->first_.push_back(g_get_monotonic_time() - call->start);
-    Read(stream, call);
+    call->generator->latencies_us_.push_back(g_get_monotonic_time() -
+                                             call->start_us);
+    ReadBody(stream, call);
   }
 
-  static void Read(GInputStream* stream, Call* call) {
+  static void ReadBody(GInputStream* stream, Call* call) {
     g_input_stream_read_bytes_async(
         stream, 65536, G_PRIORITY_DEFAULT, nullptr,
         [](GObject* source, GAsyncResult* result, gpointer data) {
-          auto* it = static_cast<Call*>(data);
+          auto* body_call = static_cast<Call*>(data);
           GBytes* bytes = g_input_stream_read_bytes_finish(
               G_INPUT_STREAM(source), result, nullptr);
           const bool more = bytes != nullptr && g_bytes_get_size(bytes) > 0;
           g_bytes_unref(bytes);
           if (more) {
-            Read(G_INPUT_STREAM(source), it);
+            ReadBody(G_INPUT_STREAM(source), body_call);
             return;
           }
           g_object_unref(source);
-          it->load->End(it);
+          body_call->generator->Finish(body_call);
         },
         call);
   }
 
-  void End(Call* call) {
+  void Finish(Call* call) {
     g_object_unref(call->message);
     delete call;
-    --open_;
-    Next();
+    --open_requests_;
+    SendNext();
   }
 
   SoupSession* session_;
   std::string url_;
-  int left_;
-  int open_ = 0;
-  int failed_ = 0;
-  std::vector<gint64> first_;
+  int remaining_;
+  int open_requests_ = 0;
+  int failed_requests_ = 0;
+  std::vector<gint64> latencies_us_;
 };
 
 }  // namespace
 
-//! Sends streamed completions to one URL and prints the rate and the time to
-//! the first byte.
+//! Sends streamed completions to one URL. Prints the number of successful and
+//! failed requests, the rate and percentiles of the time to the response
+//! headers.
 int main(int argc, char** argv) {
   absl::ParseCommandLine(argc, argv);
-  Load().Run();
+  LoadGenerator().Run();
   return 0;
 }
--- a/bench/scale_study.cpp
+++ b/bench/scale_study.cpp
@@ -28,38 +28,39 @@
 
 using Point = std::pair<double, double>;
 
-//! Prints the points of one cost, and the line through them with its largest
-//! residual as a part of the largest value.
-void Report(const std::string& name, const std::vector<Point>& points) {
-  double sx = 0;
-  double sy = 0;
-  double sxx = 0;
-  double sxy = 0;
+//! Prints the measured points of one cost and a least-squares line through
+//! them. The last column is the largest residual divided by the largest value.
+void PrintFit(const std::string& name, const std::vector<Point>& points) {
+  double sum_x = 0;
+  double sum_y = 0;
+  double sum_xx = 0;
+  double sum_xy = 0;
   const auto n = static_cast<double>(points.size());
   for (const auto& [x, y] : points) {
-    sx += x;
-    sy += y;
-    sxx += x * x;
-    sxy += x * y;
+    sum_x += x;
+    sum_y += y;
+    sum_xx += x * x;
+    sum_xy += x * y;
     std::cout << "point," << name << "," << x << "," << y << "\n";
   }
-  const double slope = (n * sxy - sx * sy) / (n * sxx - sx * sx);
-  const double base = (sy - slope * sx) / n;
+  const double slope =
+      (n * sum_xy - sum_x * sum_y) / (n * sum_xx - sum_x * sum_x);
+  const double intercept = (sum_y - slope * sum_x) / n;
   double residual = 0;
   double largest = 0;
   for (const auto& [x, y] : points) {
-    residual = std::max(residual, std::abs(y - base - slope * x));
+    residual = std::max(residual, std::abs(y - intercept - slope * x));
     largest = std::max(largest, std::abs(y));
   }
-  std::cout << "fit," << name << "," << slope << "," << base << ","
+  std::cout << "fit," << name << "," << slope << "," << intercept << ","
             << residual / largest << std::endl;
 }
 
-size_t Allocated() {
+size_t AllocatedBytes() {
   return mallinfo2().uordblks;
 }
 
-double MicrosOf(const std::function<void()>& work) {
+double MeasureMicros(const std::function<void()>& work) {
   const auto start = std::chrono::steady_clock::now();
   work();
   const std::chrono::duration<double, std::micro> time =
@@ -72,19 +73,19 @@
 }
 
 Charge MakeCharge(int i) {
-  Charge it;
-  it.organisation = Organisation(i % 100);
-  it.key = "018bcfe5-6800-7000-8000-" + std::to_string(100000000000 + i);
-  it.holder = 7;
-  it.entry = 9;
-  it.attempt = static_cast<uint64_t>(i) + 1;
-  it.service = "assistant";
-  it.endpoint = "engine-117";
-  it.prompt_tokens = 200;
-  it.completion_tokens = 224;
-  it.tokens = 424;
-  it.config_version = 990;
-  return it;
+  Charge charge;
+  charge.organisation = Organisation(i % 100);
+  charge.key = "018bcfe5-6800-7000-8000-" + std::to_string(100000000000 + i);
+  charge.holder = 7;
+  charge.entry = 9;
+  charge.attempt = static_cast<uint64_t>(i) + 1;
+  charge.service = "assistant";
+  charge.endpoint = "engine-117";
+  charge.prompt_tokens = 200;
+  charge.completion_tokens = 224;
+  charge.tokens = 424;
+  charge.config_version = 990;
+  return charge;
 }
 
 void MeasureBudgets() {
@@ -92,7 +93,7 @@
   std::vector<Point> snapshot;
   for (const int n : {2500, 5000, 10000, 20000}) {
     const BatchCodec codec("a key for tests");
-    const size_t before = Allocated();
+    const size_t before = AllocatedBytes();
     StreamView<LedgerFold> view(&codec, LedgerFold(kHour));
     Batch batch{1, 1, "", Millis(1), {}};
     for (int i = 0; i < n; ++i) {
@@ -104,12 +105,12 @@
     view.Feed({1, codec.Encode(batch)});
     batch.records.clear();
     batch.records.shrink_to_fit();
-    memory.emplace_back(n, Allocated() - before);
+    memory.emplace_back(n, AllocatedBytes() - before);
     const Record record = view.MakeSnapshot();
     snapshot.emplace_back(n, std::get<LedgerSnapshot>(record).state.size());
   }
-  Report("fold_bytes_per_budget_7_shares", memory);
-  Report("snapshot_bytes_per_budget_7_shares", snapshot);
+  PrintFit("fold_bytes_per_budget_7_shares", memory);
+  PrintFit("snapshot_bytes_per_budget_7_shares", snapshot);
 }
 
 void MeasureKeys() {
@@ -141,45 +142,46 @@
       }
       add(std::move(records));
     }
-    const size_t before = Allocated();
+    const size_t before = AllocatedBytes();
     StreamView<LedgerFold> view(&codec, LedgerFold(kHour));
-    const double time = MicrosOf([&] {
+    const double time = MeasureMicros([&] {
       for (size_t i = 0; i < payloads.size(); ++i) {
         view.Feed({i + 1, payloads[i]});
       }
     });
-    memory.emplace_back(n, Allocated() - before);
+    memory.emplace_back(n, AllocatedBytes() - before);
     log_bytes.emplace_back(n, bytes);
     micros.emplace_back(n, time);
   }
-  Report("fold_bytes_per_remembered_key", memory);
-  Report("log_bytes_per_charge_batches_of_100", log_bytes);
-  Report("read_and_fold_us_per_charge", micros);
+  PrintFit("fold_bytes_per_remembered_key", memory);
+  PrintFit("log_bytes_per_charge_batches_of_100", log_bytes);
+  PrintFit("read_and_fold_us_per_charge", micros);
 }
 
 void MeasureHeartbeats() {
   const FrameCodec codec("a key for tests");
   std::vector<Point> bytes;
   for (const int n : {1, 2, 4, 8}) {
-    Heartbeat it;
-    it.from = {"10.0.0.12:7000", 123456789};
-    it.data_centre = "region-1-dc-3";
+    Heartbeat heartbeat;
+    heartbeat.from = {"10.0.0.12:7000", 123456789};
+    heartbeat.data_centre = "region-1-dc-3";
     for (int i = 0; i < n; ++i) {
-      it.endpoints.push_back(
+      heartbeat.endpoints.push_back(
           {"engine-" + std::to_string(100 + i), Millis(200), 1, 5});
     }
-    bytes.emplace_back(n, codec.Encode(it).size());
+    bytes.emplace_back(n, codec.Encode(heartbeat).size());
   }
-  Report("heartbeat_bytes_per_endpoint_news", bytes);
+  PrintFit("heartbeat_bytes_per_endpoint_news", bytes);
 }
 
-//! Whole data centres of coordinators without requests, for a minute.
+//! Measures the run time and memory per instance and the log appends of one
+//! data centre of coordinators without requests, over 20 s of simulated time.
 void MeasureFleet() {
   std::vector<Point> micros;
   std::vector<Point> memory;
   std::vector<Point> appends;
   for (const int n : {7, 14, 28, 56}) {
-    const size_t before = Allocated();
+    const size_t before = AllocatedBytes();
     FakeFleet::Options options;
     options.data_centres = 1;
     options.instances = n;
@@ -187,21 +189,22 @@
     auto fleet = std::make_unique<FakeFleet>(options);
     fleet->Publish(0, "first");
     fleet->RunFor(kSecond * 10);
-    const uint64_t appended = fleet->log().appends();
-    const double time = MicrosOf([&] { fleet->RunFor(kSecond * 20); });
+    const uint64_t appends_before = fleet->log().appends();
+    const double time = MeasureMicros([&] { fleet->RunFor(kSecond * 20); });
     micros.emplace_back(n, time / n / 20);
-    memory.emplace_back(n, static_cast<double>(Allocated() - before) / n);
+    memory.emplace_back(n, static_cast<double>(AllocatedBytes() - before) / n);
     appends.emplace_back(
-        n, static_cast<double>(fleet->log().appends() - appended) / 20);
+        n, static_cast<double>(fleet->log().appends() - appends_before) / 20);
   }
-  Report("idle_us_a_second_per_instance_by_peers", micros);
-  Report("bytes_per_instance_by_peers", memory);
-  Report("idle_appends_a_second_by_instances", appends);
+  PrintFit("idle_us_a_second_per_instance_by_peers", micros);
+  PrintFit("bytes_per_instance_by_peers", memory);
+  PrintFit("idle_appends_a_second_by_instances", appends);
 }
 
-//! Time from a publication to the last instance that has it in force.
+//! Measures the time from the publication of a configuration until it is in
+//! force at all instances.
 void MeasureConfiguration() {
-  std::vector<Point> spread;
+  std::vector<Point> delays_ms;
   for (const int n : {14, 28, 56, 112}) {
     FakeFleet::Options options;
     options.data_centres = 7;
@@ -213,23 +216,23 @@
     const uint64_t version =
         fleet.Publish(fleet.coordinator(0).config_version(), "next");
     const Millis start = fleet.now();
-    bool all = false;
-    while (!all) {
+    bool in_force = false;
+    while (!in_force) {
       fleet.RunFor(Millis(5));
-      all = true;
+      in_force = true;
       for (size_t i = 0; i < fleet.size(); ++i) {
-        all &= fleet.coordinator(i).config_version() == version;
+        in_force &= fleet.coordinator(i).config_version() == version;
       }
     }
-    spread.emplace_back(n, (fleet.now() - start).count());
+    delays_ms.emplace_back(n, (fleet.now() - start).count());
   }
-  Report("configuration_in_force_everywhere_ms", spread);
+  PrintFit("configuration_in_force_everywhere_ms", delays_ms);
 }
 
 void MeasureEndpoints() {
   std::vector<Point> memory;
   for (const int n : {110, 220, 440, 770}) {
-    const size_t before = Allocated();
+    const size_t before = AllocatedBytes();
     EndpointTable table("dc", {});
     std::vector<EndpointSpec> specs;
     for (int i = 0; i < n; ++i) {
@@ -237,16 +240,16 @@
                        "assistant", "dc", 16, true});
     }
     table.SetSpecs(specs);
-    for (const EndpointSpec& it : specs) {
+    for (const EndpointSpec& spec : specs) {
       table.Observe(
-          {it.name, EndpointHealth::kUp, 3, "boot", {"model"}, Millis(1)});
+          {spec.name, EndpointHealth::kUp, 3, "boot", {"model"}, Millis(1)});
     }
-    memory.emplace_back(n, Allocated() - before);
+    memory.emplace_back(n, AllocatedBytes() - before);
   }
-  Report("table_bytes_per_endpoint", memory);
+  PrintFit("table_bytes_per_endpoint", memory);
 }
 
-//! Time of audit verify over an export of charges.
+//! Measures the time that `audit verify` takes for an export of charges.
 void MeasureAudit() {
   std::vector<Point> micros;
   const std::string folder = std::filesystem::temp_directory_path() /
@@ -277,18 +280,18 @@
     }
     out.close();
     micros.emplace_back(
-        n, MicrosOf([&] {
+        n, MeasureMicros([&] {
           CHECK(VerifyExport(folder, codec, kHour.count())->faults.empty());
         }));
     std::filesystem::remove_all(folder);
   }
-  Report("audit_verify_us_per_charge_batches_of_10", micros);
+  PrintFit("audit_verify_us_per_charge_batches_of_10", micros);
 }
 
 }  // namespace
 }  // namespace tamaracktrail
 
-//! Measures the slopes that docs/CAPACITY.md is worked out from; prints CSV:
+//! Measures the slopes from which docs/CAPACITY.md is calculated; prints CSV:
 //! point,NAME,SIZE,VALUE and fit,NAME,SLOPE,BASE,RESIDUAL.
 int main(int, char** argv) {
   FLAGS_logtostderr = true;
