--- a/tools/build.sh
+++ b/tools/build.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Sets up and builds everything.
+# Installs missing packages and builds all targets.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools/setup.sh
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The main job: builds, runs three instances in two data centres with stand-ins,
-# sends requests, shows answers, charges and one explanation, and shuts down.
+# Demonstrates the main functions: builds, runs three instances in two data
+# centres with stand-ins, sends requests, prints the answers, shuts down, and
+# verifies and explains the charges.
 # --keep leaves the fleet running until Enter is pressed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
@@ -22,12 +23,12 @@
 curl -sN "${cedar[@]}" -H 'Idempotency-Key: draft-1' "$(url a1)/v1/chat/completions" \
   -d '{"model":"report-writer","stream":true,"max_tokens":32,"messages":[{"role":"user","content":"Draft a report, words=6"}]}'
 
-step "The same request again: already billed, not run again"
+step "The same request repeated: already billed, not run again"
 curl -s "${cedar[@]}" -H 'Idempotency-Key: draft-1' "$(url a2)/v1/chat/completions" \
   -d '{"model":"report-writer","max_tokens":32,"messages":[{"role":"user","content":"Draft a report, words=6"}]}'
 echo
 
-step "A whole answer (amman-2)"
+step "A complete answer without streaming (amman-2)"
 curl -s "${cedar[@]}" -H 'Idempotency-Key: question-1' "$(url b1)/v1/chat/completions" \
   -d '{"model":"report-writer","max_tokens":32,"messages":[{"role":"user","content":"What is the homework? words=4"}]}'
 echo
@@ -39,7 +40,7 @@
 done
 echo "the records service ran: $(curl -s "$(url records)/ran")"
 
-step "A request over its budget"
+step "A request that exceeds its budget"
 curl -s "${olive[@]}" -H 'Idempotency-Key: big-1' "$(url a1)/v1/chat/completions" \
   -d '{"model":"report-writer","max_tokens":500,"messages":[{"role":"user","content":"A long report"}]}'
 echo
@@ -57,7 +58,7 @@
   echo "$name exit code $code"
 done
 
-step "Audit: export, verify, explain the fee payment"
+step "Audit: export, verify, explain three requests"
 "$bin" audit export --settings "$work/a1.ini" --folder "$work/audit"
 "$bin" audit verify --settings "$work/a1.ini" --folder "$work/audit"
 "$bin" audit explain fee-1 --settings "$work/a1.ini" --folder "$work/audit"
--- a/tools/fleet.sh
+++ b/tools/fleet.sh
@@ -1,5 +1,5 @@
-# Sourced by the scripts that run a small fleet with stand-ins on loopback.
-# Starts processes in the background and ends each by its process number.
+# Functions for scripts that run a small fleet with stand-ins on loopback; to be
+# sourced. Starts processes in the background and kills each by its process ID.
 bin=build/tamaracktrail
 standins=build/tests/standins
 work=$(mktemp -d)
@@ -8,14 +8,14 @@
 
 stop_fleet() {
   trap - EXIT
-  # What still runs here is left over: graceful ends come before this.
+  # Scripts shut down gracefully before this; only leftover processes still run.
   for pid in "${pids[@]}"; do kill -KILL "$pid" 2>/dev/null || true; done
   for pid in "${pids[@]}"; do wait "$pid" 2>/dev/null || true; done
   rm -rf "$work"
 }
 trap stop_fleet EXIT
 
-# A loopback port that nothing listens on, not below the given one.
+# Prints the first loopback port from next_port on that nothing listens on.
 next_port=$((20000 + RANDOM % 8000))
 free_port() {
   while (exec 3<>"/dev/tcp/127.0.0.1/$next_port") 2>/dev/null; do
@@ -28,7 +28,7 @@
   next_port=$((next_port + 1))
 }
 
-# start_standins NAME...: one process with a stand-in for each name.
+# start_standins NAME...: starts one process with a stand-in for each NAME.
 start_standins() {
   local arguments=()
   for name in "$@"; do
@@ -42,20 +42,21 @@
   done
 }
 
-# wait_for URL [CURL ARGUMENTS]: until the URL answers 200, at most 20 s.
+# wait_for [CURL ARGUMENTS] URL [CURL ARGUMENTS]: waits until URL answers without
+# an HTTP error; fails after 200 attempts 0.1 s apart.
 wait_for() {
   for _ in $(seq 200); do
     curl -sf -o "$work/answer" "$@" && return 0
     sleep 0.1
   done
-  echo "no answer from $1" >&2
+  echo "no successful answer within 200 attempts: $1" >&2
   tail -n 5 "$work"/*.log >&2
   return 1
 }
 
 control() { curl -sf "http://127.0.0.1:${port[$1]}/control" -d "$2" >"$work/control"; }
 
-# write_settings NAME DATA_CENTRE PEERS
+# write_settings NAME DATA_CENTRE PEERS: writes the settings file of an instance.
 write_settings() {
   cat >"$work/$1.ini" <<END
 [instance]
@@ -78,13 +79,14 @@
   pids+=($!)
 }
 
-# endpoint NAME SERVICE DATA_CENTRE: its declaration.
+# endpoint NAME SERVICE DATA_CENTRE: prints the declaration of an endpoint.
 endpoint() {
   printf '[endpoint %s]\naddress = 127.0.0.1:%s\nservice = %s\ndata_centre = %s\ncapacity = 16\nchecks_fencing = true\n' \
     "$1" "${port[$1]}" "$2" "$3"
 }
 
-# Three instances in two data centres, four engines, one records service.
+# Starts three instances in two data centres, four engines and one records
+# service, and publishes the first configuration.
 start_demo_fleet() {
   printf 'demo-key-%s-%s' "$RANDOM" "$RANDOM$RANDOM$RANDOM" >"$work/fleet.key"
   start_standins log list weights records engine-a1 engine-a2 engine-b1 engine-b2
--- a/tools/measure.sh
+++ b/tools/measure.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Reproduces the figures of docs/CAPACITY.md and docs/design: writes CSV files to
-# docs/measurements, with the commit they are of in COMMIT. Takes some minutes.
+# docs/measurements and the measured commit to COMMIT. Takes several minutes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools/build.sh >/dev/null
--- a/tools/overhead.sh
+++ b/tools/overhead.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# One instance against the bare stand-in engines in one run: requests a second,
-# time to the first token, processor time a request and resident memory.
+# Compares one instance with direct calls to a stand-in engine in one run:
+# requests per second, time to the first token, CPU time per request and resident
+# memory. overhead.sh [REQUESTS] [STREAMS]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source tools/fleet.sh
--- a/tools/plot.sh
+++ b/tools/plot.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Draws docs/measurements/routing_study.svg from its CSV: the 95th percentile of
-# the first token by load and choice, on a logarithmic scale.
+# Draws docs/measurements/routing_study.svg from routing_study.csv: the 95th
+# percentile of the time to the first token by load and endpoint choice, on a
+# logarithmic scale.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 awk -F, '
--- a/tools/setup.sh
+++ b/tools/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs the packages that the build needs, unless they are there.
+# Installs the packages of tools/packages.txt that are missing.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 missing=()
--- a/tools/soak.sh
+++ b/tools/soak.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# soak.sh SECONDS [SEED]: the randomised runs for a time, from a seed on.
+# soak.sh SECONDS [SEED]: executes randomised runs for SECONDS, with seeds from
+# SEED on (default 1).
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools/build.sh >/dev/null
--- a/tools/test.sh
+++ b/tools/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds and runs all tests: unit tests, the fixed seeds of the randomised runs,
-# and the runs with real processes.
+# Builds and runs all tests: unit tests, randomised runs with fixed seeds, and
+# runs with real processes.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools/build.sh
