--- a/src/transport/coordination_task.cpp
+++ b/src/transport/coordination_task.cpp
@@ -17,9 +17,10 @@
 constexpr Millis kListPeriod{2000};
 constexpr Millis kReadRetryDelay{300};
 constexpr Millis kMetricsPeriod{1000};
-constexpr size_t kReadEntries = 200;
-//! The process ends after a longer gap between ticks: a writer without a batch
-//! for 24 h (WriterChains::kWriterWindow) loses its hash chain.
+constexpr size_t kMaxEntriesPerRead = 200;
+//! The process ends after a longer gap between ticks, because a writer without
+//! a batch for 24 h (WriterChains::kWriterWindow) loses its hash chain. The
+//! limit is half of that window.
 constexpr Millis kMaxTickGap = kHour * 12;
 
 }  // namespace
@@ -159,11 +160,11 @@
 }
 
 void CoordinationTask::ReportEndpoints(
-    std::vector<ProbeReport> news,
+    std::vector<ProbeReport> probe_reports,
     std::vector<Placer::EndpointState> states,
     std::map<std::string, int> demand) {
   PostAndFlush([=, this](Millis) {
-    coordinator_->ReportEndpoints(news, states, demand);
+    coordinator_->ReportEndpoints(probe_reports, states, demand);
   });
 }
 
@@ -188,6 +189,7 @@
     mesh_->CheckReachable(now, InstanceId{address, incarnation});
   }
   for (const auto& [address, peer] : coordinator_->membership().peers()) {
+    // The incarnation of a peer is 0 until its first heartbeat.
     if (peer.incarnation != 0) {
       mesh_->CheckReachable(now, InstanceId{address, peer.incarnation});
     }
@@ -256,7 +258,7 @@
 
 void CoordinationTask::Read(const std::string& stream, uint64_t from) {
   streams_being_read_.insert(stream);
-  log_->Read(stream, from, kReadEntries, options_.read_wait,
+  log_->Read(stream, from, kMaxEntriesPerRead, options_.read_wait,
              [this, stream](absl::StatusOr<LogPage> page) {
                const Millis now = MonotonicNow();
                streams_being_read_.erase(stream);
--- a/src/transport/coordination_task.h
+++ b/src/transport/coordination_task.h
@@ -33,6 +33,7 @@
     std::string key;  //!< The fleet's shared key.
     std::string log_url;
     std::string list_url;  //!< Empty if the settings list the peers.
+    //! Peer addresses ("IP:port") from the settings.
     std::vector<std::string> peers;
     Coordinator::Options coordinator;
     Millis read_wait{8000};  //!< Longest wait of a read for new entries.
@@ -51,8 +52,8 @@
   //! Binds the peer address and starts.
   absl::Status Start();
 
-  //! Stops immediately. Without a prior DrainAndLeave no shares are returned
-  //! and no exit record is appended.
+  //! Stops immediately. Without a prior DrainAndRecordExit no shares are
+  //! returned and no exit record is appended.
   void Stop();
 
   //! Returns shares, settles charges and appends pending records and the exit
@@ -71,7 +72,9 @@
   void ReportContentEnd(uint64_t attempt,
                         const std::string& content,
                         bool succeeded);
-  void ReportEndpoints(std::vector<ProbeReport> news,
+  //! Reports the state of the endpoints; `demand` is the desired number of
+  //! copies by placement.
+  void ReportEndpoints(std::vector<ProbeReport> probe_reports,
                        std::vector<Placer::EndpointState> states,
                        std::map<std::string, int> demand);
 
@@ -105,6 +108,8 @@
   std::unique_ptr<PeerMesh> mesh_;
   std::set<std::string> streams_being_read_;
   std::map<std::string, Millis> next_read_at_;
+  //! By incarnation. Keeps instances that left the membership until the
+  //! coordinator reports their exit, for messages that are still sent to them.
   std::map<uint64_t, InstanceId> known_instances_;
   Millis last_tick_;
   uint64_t read_failures_ = 0;
--- a/src/transport/endpoint_prober.h
+++ b/src/transport/endpoint_prober.h
@@ -18,7 +18,9 @@
  public:
   using OnObservation = std::function<void(const EndpointObservation&)>;
 
-  static constexpr Millis kProbeInterval{450};  //!< Per endpoint.
+  //! Shortest time between two probes of an endpoint by Probe(); half of the
+  //! default of EndpointTable::Options::probe_after.
+  static constexpr Millis kProbeInterval{450};
   static constexpr Millis kTimeout{1000};
 
   //! Precondition: `client` outlives the prober.
@@ -28,7 +30,8 @@
   void Probe(Millis now, const EndpointSpec& endpoint);
 
   //! Probes the endpoint immediately; reports to `done` as well as to
-  //! `on_observation`.
+  //! `on_observation`, or to neither if the request is cancelled because the
+  //! client is destroyed.
   void ProbeNow(Millis now, const EndpointSpec& endpoint, OnObservation done);
 
  private:
--- a/src/transport/entry_calls.cpp
+++ b/src/transport/entry_calls.cpp
@@ -71,7 +71,7 @@
                                   admission.priority,
                                   spec.worst_case,
                                   now,
-                                  now + admission.deadline};
+                                  now + admission.max_queue_wait};
   std::unique_ptr<EntryCall>& call = calls_[attempt];
   call = std::move(admission.call);
   call->attempt = attempt;
@@ -104,7 +104,7 @@
     }
   };
   handler.on_finished = [this, attempt](bool written) {
-    OnCallerFinished(attempt, written);
+    OnExchangeFinished(attempt, written);
   };
   return handler;
 }
@@ -118,15 +118,16 @@
 }
 
 bool EntryCalls::HasFreeSlot(Millis now, const std::string& service) const {
-  int admitted = 0;
+  // Requests that left the queue and have not been sent to an endpoint.
+  int undispatched = 0;
   for (const auto& [attempt, call] : calls_) {
-    admitted += !call->queued && !call->flow->done() &&
-                        call->flow->tries() == 0 &&
-                        call->flow->spec().service == service
-                    ? 1
-                    : 0;
+    undispatched += !call->queued && !call->flow->done() &&
+                            call->flow->tries() == 0 &&
+                            call->flow->spec().service == service
+                        ? 1
+                        : 0;
   }
-  return endpoints_->FreeSlots(now, service) > admitted;
+  return endpoints_->FreeSlots(now, service) > undispatched;
 }
 
 void EntryCalls::StartQueued(Millis now) {
@@ -197,6 +198,7 @@
     Millis now,
     const EntryCall& call,
     const DispatchCall& action) {
+  // Full endpoints are candidates only if there are no others.
   for (const bool include_full : {false, true}) {
     std::vector<EndpointCandidate> candidates =
         endpoints_->Candidates(now, call.flow->spec().service, include_full);
@@ -239,6 +241,7 @@
 
 void EntryCalls::Act(EntryCall& call, const CancelCall&) {
   call.upstream.reset();
+  // kRefused counts neither as a success nor as a failure of the endpoint.
   ReleaseEndpoint(MonotonicNow(), call, EndpointTable::Finish::kRefused);
 }
 
@@ -312,6 +315,7 @@
   const Millis duration = MonotonicNow() - call.received_at;
   queue_.Remove(call.attempt);
   call.upstream.reset();
+  // kRefused counts neither as a success nor as a failure of the endpoint.
   ReleaseEndpoint(MonotonicNow(), call, EndpointTable::Finish::kRefused);
   metrics_->Count(
       absl::StrCat("tamaracktrail_requests_total{result=\"", info.name, "\"}"));
@@ -327,7 +331,7 @@
             << " tokens=" << (call.flow->done() ? call.charge.tokens : 0)
             << " config=" << spec.config_version << " ms=" << duration.count();
   if (action.code == ResultCode::kOk) {
-    call.settled = true;
+    call.charge_valid = true;
     SendAnswer(call);
   } else {
     coordination_->ReportContentEnd(call.attempt, spec.content, false);
@@ -396,16 +400,16 @@
   }
 }
 
-void EntryCalls::OnCallerFinished(uint64_t attempt, bool written) {
+void EntryCalls::OnExchangeFinished(uint64_t attempt, bool written) {
   EntryCall* call = Find(attempt);
   if (call == nullptr) {
     return;
   }
-  if (call->settled && !written) {
+  if (call->charge_valid && !written) {
     coordination_->Withdraw(call->charge);
-    call->settled = false;
+    call->charge_valid = false;
   }
-  if (call->settled) {
+  if (call->charge_valid) {
     coordination_->ReportContentEnd(attempt, call->flow->spec().content, true);
   }
   if (!call->flow->done()) {
--- a/src/transport/entry_calls.h
+++ b/src/transport/entry_calls.h
@@ -91,7 +91,9 @@
   void ReleaseEndpoint(Millis now,
                        EntryCall& call,
                        EndpointTable::Finish finish);
-  void OnCallerFinished(uint64_t attempt, bool written);
+  //! The exchange with the caller is over; `written` is whether the complete
+  //! answer was handed to the network.
+  void OnExchangeFinished(uint64_t attempt, bool written);
   void CheckTimeouts(Millis now);
 
   EntryLimits limits_;
@@ -106,6 +108,8 @@
   RetryBudget retry_budget_;
   AffinityChoice endpoint_choice_;
   std::map<uint64_t, std::unique_ptr<EntryCall>> calls_;  //!< By attempt.
+  //! Freed by the next OnTick, because a call may end in a callback of its own
+  //! members.
   std::vector<std::unique_ptr<EntryCall>> finished_;
 };
 
--- a/src/transport/entry_server.cpp
+++ b/src/transport/entry_server.cpp
@@ -20,10 +20,11 @@
 
 namespace {
 
+//! A service of this priority leaves the organisation's priority unchanged.
 constexpr int kNeutralPriority = 5;
-constexpr int kLowestPriority = 9;
+constexpr int kLowestPriority = 9;  //!< 0 is the highest.
 constexpr size_t kRandomKeyBytes = 16;
-constexpr size_t kContentHashChars = 32;
+constexpr size_t kContentHashChars = 32;  //!< 128 bits of the SHA-256 hash.
 constexpr size_t kMaxKeyChars = 200;
 const char kServicesPrefix[] = "/services/";
 
@@ -38,6 +39,7 @@
   soup_message_headers_foreach(
       soup_server_message_get_request_headers(message),
       [](const char* name, const char* value, gpointer data) {
+        // Each header line also has ": " and "\r\n".
         *static_cast<size_t*>(data) += strlen(name) + strlen(value) + 4;
       },
       &n);
@@ -61,6 +63,8 @@
   return Hex(Sha256(service + "\n" + body)).substr(0, kContentHashChars);
 }
 
+//! Closes the connection without an answer once more than `limit` bytes of the
+//! body were received.
 void LimitBody(SoupServerMessage* message, size_t limit) {
   auto* remaining = new size_t(limit);
   g_object_set_data_full(G_OBJECT(message), "body-left", remaining,
@@ -79,8 +83,8 @@
       remaining);
 }
 
-//! Whether `key` is short enough and safe to be written to log lines and
-//! records without escaping.
+//! Whether `key` is empty, in which case a key is generated, or short enough
+//! and safe to be written to log lines and records without escaping.
 bool IsValidKey(const std::string& key) {
   return key.size() <= kMaxKeyChars &&
          std::all_of(key.begin(), key.end(), [](char it) {
@@ -239,11 +243,11 @@
                                    SOUP_MEMORY_COPY, body.data(), body.size());
 }
 
-std::optional<EntryServer::Caller> EntryServer::Identify(
+std::optional<EntryServer::CallerIdentity> EntryServer::Identify(
     SoupServerMessage* message) {
   const std::string prefix = "Bearer ";
   const std::string header = GetHeader(message, "Authorization");
-  Caller caller;
+  CallerIdentity caller;
   if (header.starts_with(prefix)) {
     caller.organisation = catalog_->Authenticate(header.substr(prefix.size()));
   }
@@ -275,10 +279,12 @@
 
 void EntryServer::ServeModelCall(SoupServerMessage* message, bool chat) {
   const std::string body = GetBody(message);
-  const std::optional<Caller> caller = Identify(message);
+  const std::optional<CallerIdentity> caller = Identify(message);
   if (!caller.has_value()) {
     return;
   }
+  // The model determines the default of max_tokens, so the body is parsed with
+  // a placeholder to get the model, then again.
   absl::StatusOr<ModelCall> parsed = ParseModelCall(body, chat, 1);
   if (!parsed.ok()) {
     Refuse(message, ResultCode::kBadRequest,
@@ -313,7 +319,7 @@
   const size_t slash = rest.find('/');
   const std::string name = rest.substr(0, slash);
   const std::string body = GetBody(message);
-  const std::optional<Caller> caller = Identify(message);
+  const std::optional<CallerIdentity> caller = Identify(message);
   if (!caller.has_value()) {
     return;
   }
@@ -344,7 +350,7 @@
 }
 
 void EntryServer::Submit(SoupServerMessage* message,
-                         const Caller& caller,
+                         const CallerIdentity& caller,
                          const ServiceSpec& service,
                          std::unique_ptr<EntryCall> call,
                          FlowSpec spec) {
@@ -359,7 +365,7 @@
   admission.call = std::move(call);
   admission.spec = std::move(spec);
   admission.priority = std::clamp(priority, 0, kLowestPriority);
-  admission.deadline = service.deadline;
+  admission.max_queue_wait = service.deadline;
   handler_.on_request(std::move(admission));
 }
 
--- a/src/transport/entry_server.h
+++ b/src/transport/entry_server.h
@@ -61,7 +61,7 @@
 
  private:
   //! The organisation and the idempotency key of a request.
-  struct Caller {
+  struct CallerIdentity {
     const OrganisationSpec* organisation = nullptr;
     std::string key;
   };
@@ -76,12 +76,12 @@
   void ServePlainCall(SoupServerMessage* message, const std::string& path);
   //! Authenticates a request; answers with an error and returns none if its
   //! bearer key or idempotency key is invalid.
-  std::optional<Caller> Identify(SoupServerMessage* message);
+  std::optional<CallerIdentity> Identify(SoupServerMessage* message);
   void Refuse(SoupServerMessage* message,
               ResultCode code,
               const std::string& detail);
   void Submit(SoupServerMessage* message,
-              const Caller& caller,
+              const CallerIdentity& caller,
               const ServiceSpec& service,
               std::unique_ptr<EntryCall> call,
               FlowSpec spec);
--- a/src/transport/entry_task.cpp
+++ b/src/transport/entry_task.cpp
@@ -23,6 +23,7 @@
 
 constexpr Millis kTick{50};
 constexpr Millis kReportInterval{200};
+//! A longer gap between ticks counts as a suspension of the process.
 constexpr Millis kSuspendThreshold{700};
 
 }  // namespace
--- a/src/transport/entry_task.h
+++ b/src/transport/entry_task.h
@@ -56,7 +56,7 @@
   //! OpenCalls() is 0 first. Call from another thread.
   void Stop();
 
-  //! Delivers notices of the coordination. Thread-safe.
+  //! Delivers notices of the CoordinationTask. Thread-safe.
   void Notify(std::vector<EntryNotice> notices);
 
  private:
@@ -69,8 +69,11 @@
   void Handle(const ProbeAssignment& notice);
   void Handle(const OrderNotice& notice);
   void Tick();
+  //! Reports the endpoints' states and the demand to the coordination task and
+  //! sets the gauges.
   void Report(Millis now);
   std::vector<Placer::EndpointState> EndpointStates(Millis now) const;
+  //! Desired number of copies by placement name.
   std::map<std::string, int> Demand(
       Millis now,
       const std::vector<Placer::EndpointState>& states) const;
@@ -86,6 +89,7 @@
   std::unique_ptr<HttpClient> http_;
   std::unique_ptr<EndpointProber> prober_;
   std::shared_ptr<const Catalog> catalog_;
+  //! Names of the endpoints that this instance has to probe.
   std::vector<std::string> assigned_endpoints_;
   Millis last_tick_;
   Millis last_report_at_;
--- a/src/transport/internal/admission.h
+++ b/src/transport/internal/admission.h
@@ -19,7 +19,7 @@
   std::unique_ptr<EntryCall> call;
   FlowSpec spec;  //!< Complete except for fields that EntryCalls sets.
   int priority = 5;
-  Millis deadline;  //!< Longest wait in the queue.
+  Millis max_queue_wait;
 };
 
 }  // namespace tamaracktrail
--- a/src/transport/internal/caller_refusal.cpp
+++ b/src/transport/internal/caller_refusal.cpp
@@ -12,6 +12,7 @@
                   ResultCode code,
                   const std::string& detail,
                   Metrics* metrics) {
+  // Only sends the error. Its destruction ends the callbacks, not the answer.
   CallerStream caller(message, {nullptr, nullptr, [](bool) {}});
   const ResultInfo& info = InfoOf(code);
   caller.SendError(code, info.run_state, detail);
--- a/src/transport/internal/caller_stream.h
+++ b/src/transport/internal/caller_stream.h
@@ -20,7 +20,7 @@
   struct Handler {
     //! The caller closed its connection.
     std::function<void()> on_disconnected;
-    //! All queued bytes are written.
+    //! All queued bytes were written to the connection.
     std::function<void()> on_drained;
     //! The exchange is over; `written` is whether the complete answer was
     //! handed to the network.
--- a/src/transport/internal/entry_call.h
+++ b/src/transport/internal/entry_call.h
@@ -15,6 +15,7 @@
 
 //! One open request of an entry. Belongs to the entry's task.
 struct EntryCall {
+  //! Id of this request at this entry; the same for all tries at endpoints.
   uint64_t attempt = 0;
   std::unique_ptr<CallerStream> caller;
   std::unique_ptr<RequestFlow> flow;
@@ -23,21 +24,27 @@
   bool model_call = true;
   ModelCall model;     //!< For a model call.
   std::string method;  //!< For a plain call.
-  std::string path;    //!< At the endpoint.
-  std::string body;
+  std::string path;    //!< At the endpoint, for a plain call.
+  std::string body;    //!< For a plain call.
+  //! Of a plain call's request; of the answer once the endpoint completed it.
   std::string content_type;
   int priority = 5;
 
   Millis received_at;
   Millis first_chunk_at;
   std::string text;  //!< Collected text of an answer that is not streamed.
-  std::string usage_event;  //!< Held back until the charge is safe.
+  //! Last event of a stream, sent once the charge is safe.
+  std::string usage_event;
+  //! Event that ended the call at the endpoint. Its data is the body of a plain
+  //! answer, sent once the charge is safe.
   UpstreamEvent end_event;
   //! Endpoint whose in-flight count includes this call; empty for none.
   std::string in_flight_endpoint;
   Millis dispatched_at;
   Charge charge;  //!< Charge of the latest settlement.
-  bool settled = false;
+  //! Whether the request succeeded and its charge has not been withdrawn, which
+  //! happens if the answer is not written completely.
+  bool charge_valid = false;
   bool queued = true;
 };
 
--- a/src/transport/internal/peer_connection.h
+++ b/src/transport/internal/peer_connection.h
@@ -23,7 +23,9 @@
   using OnMessage = std::function<void(const PeerMessage&)>;
   using OnClosed = std::function<void(const absl::Status&)>;
 
-  //! Frames that may wait to be written; further ones are dropped.
+  //! Frames that may wait to be written; further ones are dropped. More than
+  //! PeerMesh queues (kMaxQueuedMessages) and sends at once when the peer's
+  //! Hello is received.
   static constexpr size_t kMaxQueue = 20000;
 
   //! Takes a reference to `connection`. Precondition: `codec` outlives this
--- a/src/transport/internal/upstream_call.cpp
+++ b/src/transport/internal/upstream_call.cpp
@@ -38,7 +38,7 @@
   bool reading = false;
   bool usage_received = false;
   uint64_t chunks = 0;
-  UpstreamEvent end;
+  UpstreamEvent end;  //!< Sent at [DONE]; has the usage once received.
 
   ~State() {
     if (timer != nullptr) {
@@ -208,6 +208,7 @@
     Fail();
     return;
   }
+  // The event with the usage is recognised by its text, and only then parsed.
   if (event.data.find("\"usage\":{") != std::string::npos) {
     end.sequence = sequence;
     OnUsage(event.data);
--- a/src/transport/internal/upstream_call.h
+++ b/src/transport/internal/upstream_call.h
@@ -12,8 +12,7 @@
 
 namespace tamaracktrail {
 
-//! One attempt of a request at an endpoint. Belongs to the task that created
-//! it.
+//! One try of a request at an endpoint. Belongs to the task that created it.
 class UpstreamCall {
  public:
   struct Request {
@@ -21,22 +20,24 @@
     std::string url;
     std::string body;
     std::string content_type = "application/json";
-    std::string request_id;
-    std::string attempt_id;
+    std::string request_id;  //!< The idempotency key.
+    std::string attempt_id;  //!< Unique for each try.
     int priority = 5;
+    //! Sequence number of the first event to send; 0 for the complete answer.
     uint64_t resume_from = 0;
-    bool streamed = true;    //!< The answer is a stream of events.
-    bool may_repeat = true;  //!< A kept-alive connection may be reused.
-    Millis connect_timeout{2000};
+    bool streamed = true;  //!< The answer is a stream of events.
+    //! The request may be sent twice. If not, it gets a new connection.
+    bool may_repeat = true;
+    Millis connect_timeout{2000};  //!< Until the request starts to be sent.
   };
 
   using OnEvent = std::function<void(const UpstreamEvent&)>;
 
   //! Starts the call. `on_event` is called on this task until the event that
-  //! ends the attempt (any but kChunk), and never after destruction.
+  //! ends the try (any but kChunk), and never after destruction.
   UpstreamCall(SoupSession* session, const Request& request, OnEvent on_event);
 
-  //! Ends the attempt by closing the connection, which cancels the call at the
+  //! Ends the try by closing the connection, which cancels the call at the
   //! endpoint.
   ~UpstreamCall();
 
--- a/src/transport/log_service.h
+++ b/src/transport/log_service.h
@@ -19,6 +19,7 @@
   uint64_t end = 1;               //!< Offset after the stream's last entry.
 };
 
+//! Gets the offset of the entry, or an error.
 using AppendDone = std::function<void(absl::StatusOr<uint64_t>)>;
 using ReadDone = std::function<void(absl::StatusOr<LogPage>)>;
 
--- a/src/transport/peer_mesh.h
+++ b/src/transport/peer_mesh.h
@@ -37,8 +37,9 @@
   struct Handler {
     //! Called with each message of an authenticated peer.
     std::function<void(uint64_t from, const PeerMessage&)> on_message;
-    //! Called when the address of this incarnation refuses a connection or
-    //! answers as another incarnation; `why` says which.
+    //! Evidence of an exit: called each time the address of this incarnation
+    //! refuses a connection or answers as another incarnation; `why` says
+    //! which.
     std::function<void(uint64_t incarnation, const std::string& why)> on_exit;
   };
 
@@ -74,8 +75,9 @@
   //! reconnect interval.
   void CheckReachable(Millis now, const InstanceId& peer);
 
-  //! Frees closed connections. Call it periodically, but not from a callback of
-  //! this class.
+  //! Frees closed connections, which are kept because they may close in one of
+  //! their own callbacks. Call it periodically, but not from a callback of this
+  //! class.
   void FreeClosed();
 
   //! Drops all connections of an exited incarnation, with the bytes received on
@@ -86,7 +88,7 @@
 
  private:
   struct Incoming {
-    uint64_t from = 0;
+    uint64_t from = 0;  //!< Incarnation; 0 until its Hello is received.
     std::unique_ptr<PeerConnection> connection;
   };
 
@@ -96,13 +98,14 @@
     bool connecting = false;
     bool hello_received = false;  //!< The peer's Hello was received.
     Millis last_attempt_at;
-    std::vector<PeerMessage> queued;
+    std::vector<PeerMessage> queued;  //!< Sent after the peer's Hello.
   };
 
   void AcceptNext();
   void OnIncomingMessage(PeerConnection* connection,
                          const PeerMessage& message);
   void Connect(const InstanceId& peer);
+  //! `connection` is a GSocketConnection; null if the attempt failed.
   void OnConnectFinished(const InstanceId& peer,
                          void* connection,
                          bool refused);
