--- a/tests/soak/fleet_run.cpp
+++ b/tests/soak/fleet_run.cpp
@@ -12,6 +12,7 @@
 namespace {
 
 constexpr int kOrganisationCount = 3;
+//! Time between two steps. The probabilities in Step() are per step.
 constexpr Millis kStepTime{100};
 
 //! Sends the requests and retries of one run and injects its faults.
@@ -44,6 +45,8 @@
   const FakeFleet& fleet() const { return fleet_; }
 
  private:
+  //! The seed also selects the number of data centres and instances and some
+  //! other options.
   static FakeFleet::Options MakeOptions(uint64_t seed) {
     FakeFleet::Options options;
     options.seed = seed;
@@ -82,14 +85,17 @@
                          RandomInt(500, 5000));
     }
     if (Chance(0.02)) {
-      const uint64_t base = Chance(0.5) ? config_version_ : config_version_ / 2;
-      config_version_ =
+      // About half of the configurations have an outdated base and are refused.
+      const uint64_t base =
+          Chance(0.5) ? last_published_offset_ : last_published_offset_ / 2;
+      last_published_offset_ =
           fleet_.Publish(base, absl::StrCat("c", RandomInt(0, 1 << 30)));
     }
     if (Chance(0.03)) {
       InjectRandomFault();
     }
     if (Chance(0.012)) {
+      // Two faults at the same time, also of the same kind.
       InjectRandomFault();
       InjectRandomFault();
     }
@@ -118,13 +124,14 @@
     }
   }
 
+  //! The fault ends when the next one is injected after `min_duration`.
   void StartFault(const char* kind,
-                  Millis duration,
+                  Millis min_duration,
                   std::function<void()> start,
                   std::function<void()> end) {
     ++report_.faults[kind];
     start();
-    fault_ends_.emplace_back(fleet_.now() + duration, std::move(end));
+    fault_ends_.emplace_back(fleet_.now() + min_duration, std::move(end));
   }
 
   void EndExpiredFaults() {
@@ -141,50 +148,51 @@
 
   void InjectRandomFault() {
     EndExpiredFaults();
-    const Millis duration(RandomInt(200, 15000));
+    const Millis min_duration(RandomInt(200, 15000));
     const size_t instance = RandomInstance();
     const size_t other = RandomInstance();
-    const int centre = static_cast<int>(RandomInt(0, 1));
+    const int data_centre = static_cast<int>(RandomInt(0, 1));
     switch (RandomInt(0, 8)) {
       case 0:
         return StartFault(
-            "kill", duration, [=, this] { fleet_.Kill(instance); },
+            "kill", min_duration, [=, this] { fleet_.Kill(instance); },
             [=, this] { fleet_.Restart(instance); });
       case 1:
         return StartFault(
-            "pause", duration, [=, this] { fleet_.Pause(instance); },
+            "pause", min_duration, [=, this] { fleet_.Pause(instance); },
             [=, this] { fleet_.Resume(instance); });
       case 2:
         return StartFault(
-            "log_down", duration, [=, this] { fleet_.SetLogDown(true); },
+            "log_down", min_duration, [=, this] { fleet_.SetLogDown(true); },
             [=, this] { fleet_.SetLogDown(false); });
       case 3:
         return StartFault(
-            "cut_from_log", duration,
-            [=, this] { fleet_.CutFromLog(centre, true); },
-            [=, this] { fleet_.CutFromLog(centre, false); });
+            "cut_from_log", min_duration,
+            [=, this] { fleet_.CutFromLog(data_centre, true); },
+            [=, this] { fleet_.CutFromLog(data_centre, false); });
       case 4:
         return StartFault(
-            "lost_answers", duration,
+            "lost_answers", min_duration,
             [=, this] { fleet_.SetLostAnswerRate(0.5); },
             [=, this] { fleet_.SetLostAnswerRate(0); });
       case 5:
         return StartFault(
-            "lost_messages", duration,
+            "lost_messages", min_duration,
             [=, this] { fleet_.SetLostMessageRate(0.3); },
             [=, this] { fleet_.SetLostMessageRate(0); });
       case 6:
         return StartFault(
-            "cut_one_way", duration,
+            "cut_one_way", min_duration,
             [=, this] { fleet_.CutLink(instance, other, true); },
             [=, this] { fleet_.CutLink(instance, other, false); });
       case 7:
         return StartFault(
-            "cut_calls", duration, [=, this] { fleet_.SetCutCallRate(0.4); },
-            [=, this] { fleet_.SetCutCallRate(0); });
+            "cut_calls", min_duration,
+            [=, this] { fleet_.SetFailedCallRate(0.4); },
+            [=, this] { fleet_.SetFailedCallRate(0); });
       default:
         return StartFault(
-            "drain", duration, [=, this] { fleet_.Drain(instance); },
+            "drain", min_duration, [=, this] { fleet_.Drain(instance); },
             [=, this] { fleet_.Restart(instance); });
     }
   }
@@ -211,7 +219,7 @@
                              status.charges_in_custody == 0 && status.joined;
       if (!quiescent && report_.violation.empty()) {
         report_.violation =
-            absl::StrCat("instance ", i, " did not settle: backlog ",
+            absl::StrCat("instance ", i, " still has work: backlog ",
                          status.backlog, ", custody ",
                          status.charges_in_custody, ", joined ", status.joined);
       }
@@ -231,7 +239,8 @@
   std::vector<SentRequest> sent_requests_;
   std::vector<std::pair<Millis, std::function<void()>>> fault_ends_;
   uint64_t next_key_ = 0;
-  uint64_t config_version_ = 1;
+  //! Log offset of the last published configuration, accepted or not.
+  uint64_t last_published_offset_ = 1;
 };
 
 }  // namespace
--- a/tests/soak/fleet_run.h
+++ b/tests/soak/fleet_run.h
@@ -13,17 +13,21 @@
   uint64_t seed = 0;
   uint64_t calls = 0;
   uint64_t delivered = 0;
-  uint64_t refused = 0;
+  uint64_t refused = 0;  //!< Calls that ended with run state kNotRun.
+  //! Refused for the budget although the unspent tokens cover the worst case.
   uint64_t false_refusals = 0;
-  int lost_charges = 0;      //!< Every holder was killed.
-  int64_t stuck_tokens = 0;  //!< In shares of exited holders at the end.
+  //! Keys whose charge or void record was lost because instances were killed.
+  int lost_charges = 0;
+  //! Largest number of tokens that an instance counts in shares of exited
+  //! holders, at the end.
+  int64_t stuck_tokens = 0;
   std::map<std::string, int> faults;  //!< By kind.
   std::string violation;              //!< Empty if all guarantees held.
 };
 
 //! Runs a simulated fleet for `seconds` of simulated time with requests,
-//! duplicates, retries and random faults, single or in pairs, also two of the
-//! same kind; then ends all faults and checks the guarantees. A violated
+//! retries, concurrent duplicates and random faults, injected one or two at a
+//! time; then ends all faults and checks the guarantees. A violated
 //! invariant inside a state machine aborts the process. If `explanation` and
 //! `key` are given, it is set to the log records of `key` and its callers'
 //! results.
--- a/tests/soak/fleet_run_test.cpp
+++ b/tests/soak/fleet_run_test.cpp
@@ -19,7 +19,7 @@
                          FleetRunTest,
                          testing::Range<uint64_t>(1, 13));
 
-// Seeds that once exposed a fault; the commit history describes each.
+// Each seed exposed a fault that the commit history describes.
 INSTANTIATE_TEST_SUITE_P(
     RegressionSeeds,
     FleetRunTest,
--- a/tests/soak/instance_process.cpp
+++ b/tests/soak/instance_process.cpp
@@ -56,7 +56,7 @@
   gchar* arguments[] = {binary_.data(), command.data(), settings.data(),
                         nullptr};
   // An instance that outlived its parent would keep calling the ports of the
-  // stand-ins, which other processes may have been given by then.
+  // stand-ins, which other processes may use by then.
   const GSpawnChildSetupFunc die_with_parent = [](gpointer) {
     prctl(PR_SET_PDEATHSIG, SIGKILL);
   };
@@ -65,7 +65,7 @@
                                nullptr, &pid_, -1, log, log, nullptr))
       << "event=not_started binary=" << binary_;
   close(log);
-  ++incarnation_;
+  ++start_count_;
 }
 
 void InstanceProcess::Signal(int signal) {
--- a/tests/soak/instance_process.h
+++ b/tests/soak/instance_process.h
@@ -38,8 +38,8 @@
   //! exited.
   bool running();
   pid_t pid() const { return pid_; }
-  //! Number of starts.
-  int incarnation() const { return incarnation_; }
+  //! Number of starts of the process.
+  int start_count() const { return start_count_; }
 
  private:
   std::string binary_;
@@ -50,7 +50,7 @@
   std::string log_path_;
   FaultProxy store_link_;
   pid_t pid_ = 0;
-  int incarnation_ = 0;
+  int start_count_ = 0;
 };
 
 }  // namespace tamaracktrail
--- a/tests/soak/instance_process_test.cpp
+++ b/tests/soak/instance_process_test.cpp
@@ -25,8 +25,8 @@
 }
 
 TEST(InstanceProcessTest, IsKilledWhenItsParentIsKilled) {
-  // Instances left running by a killed soak kept calling the ports of its
-  // stand-ins, which later processes had been given.
+  // An instance that outlived its parent would keep calling the ports of the
+  // stand-ins, which other processes may use by then.
   const std::string folder =
       absl::StrCat(testing::TempDir(), "/instance-", getpid());
   std::filesystem::create_directories(folder);
--- a/tests/soak/main.cpp
+++ b/tests/soak/main.cpp
@@ -10,9 +10,16 @@
 #include "absl/flags/parse.h"
 #include "soak/fleet_run.h"
 
-ABSL_FLAG(int, seconds, 0, "Run further seeds for this many seconds.");
+ABSL_FLAG(int,
+          seconds,
+          0,
+          "Start runs of further seeds until this many seconds have passed.");
 ABSL_FLAG(uint64_t, seed, 1, "First seed.");
-ABSL_FLAG(std::string, key, "", "Print the log records of this request key.");
+ABSL_FLAG(
+    std::string,
+    key,
+    "",
+    "Print the log records of this request key and its callers' results.");
 
 namespace {
 
--- a/tests/soak/process_main.cpp
+++ b/tests/soak/process_main.cpp
@@ -19,7 +19,8 @@
 ABSL_FLAG(std::string,
           logs,
           "",
-          "Folder for settings and logs; not deleted after a run.");
+          "Folder for settings and logs; not deleted after a run. Default: a "
+          "temporary folder, deleted after a run without violations.");
 
 //! Runs consecutive seeds and prints the result of each. Exit code 1 on a
 //! violation.
@@ -34,7 +35,8 @@
     tamaracktrail::ProcessRunOptions options;
     options.binary = absl::GetFlag(FLAGS_binary);
     options.seed = absl::GetFlag(FLAGS_seed) + i;
-    options.length = tamaracktrail::Millis(absl::GetFlag(FLAGS_seconds) * 1000);
+    options.fault_time =
+        tamaracktrail::Millis(absl::GetFlag(FLAGS_seconds) * 1000);
     options.instances = absl::GetFlag(FLAGS_instances);
     std::string folder = absl::GetFlag(FLAGS_logs);
     if (folder.empty()) {
--- a/tests/soak/process_run.cpp
+++ b/tests/soak/process_run.cpp
@@ -32,19 +32,23 @@
 //! sending requests to a draining endpoint.
 constexpr Millis kPropagationBound{3000};
 
-//! Between two events of a stream; so long that many streams are always open.
+//! Time between two events of a stream. Long enough that many streams are open
+//! at any time.
 constexpr Millis kEventInterval{50};
 
+//! Time from the start of the instances to the first call.
 constexpr Millis kWarmUp{2500};
+//! Time from the end of all faults to the final check of all routes.
 constexpr Millis kRecoveryTime{9000};
-//! Delay of the planned changes (endpoints drain, an instance stops) after all
-//! faults have ended. No fault disturbs them.
+//! Time from the end of all faults to the planned changes (endpoints drain, an
+//! instance stops). Longer than kUndisturbedTime, so that no fault counts as a
+//! disturbance of them and the time bounds apply.
 constexpr Millis kPlannedChangesDelay{3000};
 constexpr Millis kPollInterval{20};
 constexpr Millis kCallInterval{12};
 constexpr Millis kProbeInterval{300};
-constexpr int64_t kInitialPrepaid = 150 * kSampleStreamTokens;
-constexpr int64_t kTopup = 60 * kSampleStreamTokens;
+constexpr int64_t kInitialPrepaidTokens = 150 * kSampleStreamTokens;
+constexpr int64_t kTopUpTokens = 60 * kSampleStreamTokens;
 
 struct Call {
   std::string id;
@@ -84,8 +88,8 @@
       InjectFault();
     });
     PollTick();
-    loop_.After(kWarmUp + options_.length, [this] { EndAllFaults(); });
-    loop_.After(kWarmUp + options_.length + kRecoveryTime,
+    loop_.After(kWarmUp + options_.fault_time, [this] { EndAllFaults(); });
+    loop_.After(kWarmUp + options_.fault_time + kRecoveryTime,
                 [this] { CheckRecovery(); });
     loop_.Run();
     CheckResults();
@@ -99,18 +103,21 @@
     bool paused = false;  //!< By SIGSTOP.
     bool stopping = false;
     Millis stop_requested_at;
-    bool stop_disturbed = false;  //!< Another fault shortly before or since.
-    int64_t newest_version_seen = 0;  //!< By seen_incarnation.
-    int seen_incarnation = 0;         //!< Process that was probed.
-    bool killed = false;              //!< By SIGKILL, at any time in the run.
-    Millis restart_at;                //!< Of the next process; 0 if not chosen.
+    //! A fault disturbed the instance within kUndisturbedTime before the stop
+    //! or at any time since.
+    bool stop_disturbed = false;
+    //! Newest version that probes of the process `seen_start_count` have found.
+    int64_t newest_version_seen = 0;
+    int seen_start_count = 0;  //!< Start count of the last probed process.
+    bool killed = false;       //!< By SIGKILL, at any time in the run.
+    Millis restart_at;  //!< Time of the next start; 0 while none is planned.
   };
   struct Endpoint {
     std::unique_ptr<StandInEndpoint> stand_in;
     std::unique_ptr<FaultProxy> link;  //!< Its address is the published one.
     std::string service;
     int64_t sequence = 1;
-    Millis draining_since;  //!< 0 if not draining.
+    Millis draining_since;  //!< 0 if it never drained.
     size_t checked_requests = 0;
   };
   struct Fault {
@@ -118,9 +125,9 @@
     std::function<void()> start;
   };
 
-  //! Calls use a generator of their own, so that the faults depend on the seed
-  //! only and not on the number of calls.
   int RandomBelow(int n) { return static_cast<int>(random_() % n); }
+  //! For calls and restarts. Their generator is separate, so that the faults
+  //! depend on the seed only and not on the number of calls.
   int RandomBelowForCalls(int n) {
     return static_cast<int>(call_random_() % n);
   }
@@ -199,6 +206,7 @@
         {"pause", [&] { Pause(it); }},
         {"stop", [&] { Stop(it); }},
         {"reload", [&] { SendSignal(it, SIGHUP); }},
+        // Listed twice, so that it is chosen twice as often.
         {"link", [&] { DisturbLink(it); }},
         {"link", [&] { DisturbLink(it); }},
         {"store", [&] { DisturbStore(); }},
@@ -206,17 +214,17 @@
         {"config", [&] { PublishConfig(); }},
         {"topup",
          [&] {
-           prepaid_tokens_ += kTopup;
+           prepaid_tokens_ += kTopUpTokens;
            PublishConfig();
          }},
-        {"endpoint_leaves", [&] { DrainRandomEndpoint(); }},
+        {"endpoint_drains", [&] { DrainRandomEndpoint(); }},
         {"endpoint_misbehaves", [&] { MakeRandomEndpointMisbehave(); }},
         {"endpoint_link", [&] { DisturbRandomEndpointLink(); }},
     };
     const Fault& fault = faults[RandomBelow(std::size(faults))];
     ++report_.faults[fault.name];
     fault.start();
-    // One in five delays is long enough for the time bounds to apply.
+    // One in five delays exceeds kUndisturbedTime, so that time bounds apply.
     const Millis delay =
         RandomBelow(5) == 0 ? RandomTime(3500, 5000) : RandomTime(50, 900);
     loop_.After(delay, [this] { InjectFault(); });
@@ -253,8 +261,8 @@
     if (it->stopping) {
       return;
     }
-    // Compared before disturbed_at is set to the time of the stop: only earlier
-    // faults count as a disturbance.
+    // Computed before disturbed_at is set: only earlier faults count as a
+    // disturbance, not the stop itself.
     it->stop_disturbed = loop_.Now() - it->disturbed_at < kUndisturbedTime;
     it->disturbed_at = loop_.Now();
     it->stopping = true;
@@ -446,6 +454,7 @@
     }
     std::vector<Call> open;
     for (Call& it : calls_) {
+      // A call that is still open after 6 s counts as unanswered.
       if (it.caller->finished() || loop_.Now() - it.sent > Millis(6000)) {
         FinishCall(&it);
       } else {
@@ -467,7 +476,7 @@
     } else if (status == 0 && it.stopping &&
                it.stop_requested_at > call->sent && !it.stop_disturbed &&
                loop_.Now() - endpoints_disturbed_at_ > kUndisturbedTime) {
-      AddViolation("a graceful stop cut " + call->id);
+      AddViolation("a graceful stop ended the connection of " + call->id);
     }
     if (caller.reusable() && reusable_callers_.size() < 50) {
       reusable_callers_.emplace_back(call->instance, std::move(call->caller));
@@ -478,11 +487,12 @@
     HttpReader& answer = call.caller->answer();
     if (answer.fields().Find("X-Request-Id") != call.id ||
         answer.fields().Count("X-Server-Signature") != 1) {
-      AddViolation("not the own answer: " + call.id);
+      AddViolation("answer to another request or without signature: " +
+                   call.id);
     }
     const bool stream = call.route == "report" || call.route == "ask";
     if (answer.body() != (stream ? SampleStreamBody() : "body")) {
-      AddViolation("not the whole answer: " + call.id);
+      AddViolation("incomplete or wrong answer: " + call.id);
     }
     if (stream) {
       delivered_tokens_ += kSampleStreamTokens;
@@ -501,13 +511,14 @@
           ran[it->checked_requests].fields.Find("X-Request-Id").value_or(""));
       ++run_count_by_id_[id];
       const Instance* from = InstanceOfRequest(id);
+      // Runs are noticed up to one kPollInterval late.
       if (from != nullptr && it->draining_since > Millis(0) &&
           loop_.Now() - it->draining_since >
               kPropagationBound + kPollInterval &&
           BoundsApply(*from)) {
         AddViolation(absl::StrCat(id, " ran at ", it->stand_in->id(), " ",
                                   (loop_.Now() - it->draining_since).count(),
-                                  " ms after it began to leave"));
+                                  " ms after it started to drain"));
       }
     }
   }
@@ -536,9 +547,9 @@
 
   void Probe(int instance, int64_t version) {
     Instance& it = instances_[instance];
-    const int incarnation = it.process->incarnation();
-    if (it.seen_incarnation != incarnation) {
-      it.seen_incarnation = incarnation;
+    const int start_count = it.process->start_count();
+    if (it.seen_start_count != start_count) {
+      it.seen_start_count = start_count;
       it.newest_version_seen = 0;
     }
     auto caller = std::make_shared<Caller>(
@@ -550,8 +561,8 @@
     // Concurrent probes may see a change in either order, so a probe is
     // compared with the newest version seen before it was sent.
     const int64_t newest_version_before = it.newest_version_seen;
-    AwaitCaller(caller, 100, [=, this, &it] {
-      if (it.process->incarnation() != incarnation) {
+    AwaitCaller(caller, /*polls_left=*/100, [=, this, &it] {
+      if (it.process->start_count() != start_count) {
         return;
       }
       if (caller->status() == 200) {
@@ -562,7 +573,7 @@
         }
         it.newest_version_seen = std::max(it.newest_version_seen, version);
       } else if (caller->status() == 404 && expected && BoundsApply(it)) {
-        AddViolation(absl::StrCat(it.process->name(), " does not know version ",
+        AddViolation(absl::StrCat(it.process->name(), " did not apply version ",
                                   version, " in time"));
       }
     });
@@ -590,15 +601,17 @@
             absl::StrCat(it.process->name(), ".last-", route);
         auto caller = std::make_shared<Caller>(
             &loop_, it.process->callers_address(), SampleRequest(route, id));
-        AwaitCaller(caller, 100, [this, id, caller] {
+        AwaitCaller(caller, /*polls_left=*/100, [this, id, caller] {
           if (caller->status() != 200) {
             AddViolation(absl::StrCat(id, " got ", caller->status(),
-                                      " after all was healed"));
+                                      " after all faults had ended"));
           }
         });
       }
     }
     finished_ = true;
+    // The calls above are polled for 2 s. The instances then get 6 s for a
+    // graceful stop.
     loop_.After(Millis(2500), [this] {
       for (Instance& it : instances_) {
         SendSignal(&it, SIGTERM);
@@ -608,18 +621,20 @@
   }
 
   void CheckResults() {
+    // Repeatable requests have max_attempts 2 in SampleConfig.
     for (const auto& [id, n] : run_count_by_id_) {
       if (id != "probe" && n > (non_repeatable_ids_.count(id) > 0 ? 1 : 2)) {
         AddViolation(absl::StrCat(id, " ran ", n, " times"));
       }
     }
     for (const auto& [id, status] : status_by_id_) {
+      // No request that got one of these statuses may have run; 408 is exempt.
       if (status >= 400 && status <= 429 && status != 408 &&
           run_count_by_id_[id] > 0) {
         AddViolation(absl::StrCat(id, " ran and got ", status));
       }
       if (status == 503 && run_count_by_id_[id] > 0) {
-        AddViolation(id + " was said not to have run");
+        AddViolation(id + " ran and got 503, which states that it did not run");
       }
     }
     for (const Instance& it : instances_) {
@@ -643,7 +658,7 @@
     }
     for (const std::string& id : delivered_streams_) {
       if (InstanceOfRequest(id) == &it && charged.count(id) == 0) {
-        AddViolation(id + " was delivered and is charged nowhere");
+        AddViolation(id + " was delivered and has no charge in the log file");
       }
     }
   }
@@ -664,7 +679,7 @@
   std::set<std::string> violations_;
   int64_t version_ = 0;
   Millis version_published_at_;
-  int64_t prepaid_tokens_ = kInitialPrepaid;
+  int64_t prepaid_tokens_ = kInitialPrepaidTokens;
   int64_t delivered_tokens_ = 0;
   Millis endpoints_disturbed_at_;
   bool faults_ended_ = false;
--- a/tests/soak/process_run.h
+++ b/tests/soak/process_run.h
@@ -14,7 +14,7 @@
   std::string binary;  //!< The program under test.
   std::string folder;  //!< For settings and logs; must exist.
   uint64_t seed = 1;
-  Millis length{10000};
+  Millis fault_time{10000};  //!< Time during which faults are injected.
   int instances = 4;
 };
 
@@ -26,10 +26,11 @@
   std::vector<std::string> violations;
 };
 
-//! Runs instances as separate processes between stand-ins, injects faults with
-//! signals, proxies and a faulty store, and checks the guarantees during the
-//! run and at its end. The seed determines the order and times of the faults,
-//! but the timing of the processes varies. Ends all processes that it started.
+//! Runs instances as separate processes, with stand-ins for the store and the
+//! endpoints, injects faults with signals, proxies and the stand-ins, and
+//! checks the guarantees during the run and at its end. The seed determines the
+//! order and times of the faults, but the timing of the processes varies. Ends
+//! all processes that it started.
 ProcessRunReport RunProcesses(const ProcessRunOptions& options);
 
 }  // namespace tamaracktrail
--- a/tests/support/caller.h
+++ b/tests/support/caller.h
@@ -12,15 +12,15 @@
 class EventLoop;
 
 //! A test HTTP client that keeps its connection open after a request and holds
-//! the answer.
-//! Not thread-safe.
+//! the answer. Not thread-safe.
 class Caller : public TcpStream::Observer {
  public:
   //! Connects and sends `request`. Precondition: `loop` outlives this object.
   Caller(EventLoop* loop, const std::string& address, std::string request);
   ~Caller() override;
 
-  //! Sends another request on the same connection. Precondition: `reusable`.
+  //! Sends another request on the same connection. Precondition:
+  //! reusable().
   void SendAnother(const std::string& request);
 
   //! Closes the connection without waiting for the answer.
--- a/tests/support/fake_fleet.cpp
+++ b/tests/support/fake_fleet.cpp
@@ -20,12 +20,14 @@
 FakeFleet::FakeFleet(const Options& options)
     : options_(options), random_(options.seed), codec_("a key for tests") {
   log_.set_retained_entries(options.log_retention);
-  for (int centre = 0; centre < options.data_centres; ++centre) {
+  for (int data_centre_index = 0; data_centre_index < options.data_centres;
+       ++data_centre_index) {
     for (int i = 0; i < options.instances; ++i) {
       Node node;
-      node.address = absl::StrCat("10.0.", centre, ".", i + 1, ":7000");
-      node.data_centre = absl::StrCat("dc", centre);
-      node.centre = centre;
+      node.address =
+          absl::StrCat("10.0.", data_centre_index, ".", i + 1, ":7000");
+      node.data_centre = absl::StrCat("dc", data_centre_index);
+      node.data_centre_index = data_centre_index;
       nodes_.push_back(std::move(node));
     }
   }
@@ -58,16 +60,16 @@
   node.deferred_events.clear();
   node.flows.clear();
   node.pending_reads.clear();
-  node.incarnation = random_() | 1;
+  node.incarnation = random_() | 1;  // Not 0, which stands for none.
   Coordinator::Options options = options_.coordinator;
   options.data_centre = node.data_centre;
   options.ledger.keeper.data_centres = options_.data_centres;
   node.coordinator = std::make_unique<Coordinator>(
       InstanceId{node.address, node.incarnation}, options, &codec_);
-  node.retries = std::make_unique<RetryBudget>(0.2, 20);
+  node.retries = std::make_unique<RetryBudget>(/*ratio=*/0.2, /*burst=*/20);
   std::vector<std::string> seeds;
   for (const Node& it : nodes_) {
-    if (it.centre == node.centre) {
+    if (it.data_centre_index == node.data_centre_index) {
       seeds.push_back(it.address);
     }
   }
@@ -163,17 +165,17 @@
   }
 }
 
-void FakeFleet::Send(size_t from, const Outbox::Message& letter) {
+void FakeFleet::Send(size_t from, const Outbox::Message& outgoing) {
   for (size_t to = 0; to < nodes_.size(); ++to) {
     const bool lost =
         cut_links_.contains({from, to}) || Chance(lost_message_rate_);
-    if (nodes_[to].incarnation == letter.to && nodes_[to].alive && !lost) {
+    if (nodes_[to].incarnation == outgoing.to && nodes_[to].alive && !lost) {
       const uint64_t sender = nodes_[from].incarnation;
       Millis& at = delivered_at_[{from, to}];
       at = std::max(at, now() + Millis(RandomInt(1, 3)));
       RunOn(
           to,
-          [this, sender, message = letter.message](Node& it) {
+          [this, sender, message = outgoing.message](Node& it) {
             it.coordinator->OnMessage(now(), WallNow(), sender, message);
           },
           at - now());
@@ -182,23 +184,25 @@
 }
 
 bool FakeFleet::LogReachable(const Node& node) const {
-  return !log_down_ && !data_centres_cut_from_log_.contains(node.centre);
+  return !log_down_ &&
+         !data_centres_cut_from_log_.contains(node.data_centre_index);
 }
 
-void FakeFleet::AppendToLog(size_t i, const Coordinator::StreamAppend& order) {
+void FakeFleet::AppendToLog(size_t i, const Coordinator::StreamAppend& append) {
   const int64_t latency = options_.log_latency.count();
   // Not bound to the instance: an append that was sent takes effect even if the
   // instance is killed.
-  events_.After(Millis(RandomInt(latency / 2, latency)), [this, i, order] {
+  events_.After(Millis(RandomInt(latency / 2, latency)), [this, i, append] {
     const bool reachable = LogReachable(nodes_[i]);
     if (reachable) {
-      log_.Append(order.stream, order.payload);
+      log_.Append(append.stream, append.payload);
     }
     const bool ok = reachable && !Chance(lost_answer_rate_);
+    // A failure is reported later than a success.
     RunOn(
         i,
-        [this, order, ok](Node& it) {
-          it.coordinator->OnAppended(now(), order.stream, ok);
+        [this, append, ok](Node& it) {
+          it.coordinator->OnAppended(now(), append.stream, ok);
         },
         Millis(ok ? 2 : 300));
   });
@@ -277,7 +281,7 @@
       !node.coordinator->ready()) {
     return 0;
   }
-  const uint64_t attempt = random_() | 1;
+  const uint64_t attempt = random_() | 1;  // Not 0, which reports a refusal.
   FlowSpec spec;
   spec.organisation = organisation;
   spec.key = key;
@@ -290,7 +294,7 @@
   spec.repeatable = repeatable;
   outcomes_[attempt] = CallOutcome{organisation, key, repeatable};
   outcomes_[attempt].worst_case = worst_case;
-  outcomes_[attempt].entry = instance;
+  outcomes_[attempt].entry_instance = instance;
   auto flow = std::make_unique<RequestFlow>(spec, node.retries.get());
   RequestFlow& it = *flow;
   node.flows[attempt] = std::move(flow);
@@ -330,8 +334,8 @@
     coordinator.Settle(now(), settle->request);
   } else if (const auto* withdraw = std::get_if<WithdrawCharge>(&action)) {
     coordinator.Withdraw(now(), withdraw->charge);
-  } else if (const auto* note = std::get_if<AppendRecord>(&action)) {
-    coordinator.AppendRecord(outcomes_[attempt].organisation, note->record);
+  } else if (const auto* append = std::get_if<AppendRecord>(&action)) {
+    coordinator.AppendRecord(outcomes_[attempt].organisation, append->record);
   } else if (const auto* finish = std::get_if<FinishRequest>(&action)) {
     CallOutcome& outcome = outcomes_[attempt];
     outcome.done = true;
@@ -343,6 +347,7 @@
     outcome.falsely_refused =
         budget && UnspentTokens(outcome.organisation) >= outcome.worst_case;
     const uint64_t generation = node.generation;
+    // Deferred: the callers of this function may still use the flow.
     events_.After(Millis(1), [this, i, attempt, generation] {
       if (nodes_[i].generation == generation) {
         nodes_[i].flows.erase(attempt);
@@ -354,9 +359,9 @@
 void FakeFleet::CallEndpoint(size_t i, uint64_t attempt, int64_t worst_case) {
   UpstreamEvent event;
   const double fraction = std::uniform_real_distribution<double>(0, 1)(random_);
-  if (fraction < cut_call_rate_ / 3) {
+  if (fraction < failed_call_rate_ / 3) {
     event.kind = UpstreamEvent::Kind::kRefused;
-  } else if (fraction < cut_call_rate_) {
+  } else if (fraction < failed_call_rate_) {
     event.kind = UpstreamEvent::Kind::kConnectionLost;
     outcomes_[attempt].runs += Chance(0.5) ? 1 : 0;
   } else {
@@ -412,8 +417,8 @@
         std::any_of(nodes_.begin(), nodes_.end(), [&](const Node& it) {
           return it.alive && it.coordinator->HoldsCharge(attempt);
         });
-    outcome.charge_lost =
-        (held && !held_elsewhere) || (withheld && outcome.entry == killed);
+    outcome.charge_lost = (held && !held_elsewhere) ||
+                          (withheld && outcome.entry_instance == killed);
   }
 }
 
@@ -482,7 +487,7 @@
   cut_links_.clear();
   lost_answer_rate_ = 0;
   lost_message_rate_ = 0;
-  cut_call_rate_ = 0;
+  failed_call_rate_ = 0;
   for (size_t i = 0; i < nodes_.size(); ++i) {
     Resume(i);
     Restart(i);
--- a/tests/support/fake_fleet.h
+++ b/tests/support/fake_fleet.h
@@ -33,7 +33,8 @@
     Coordinator::Options coordinator;
   };
 
-  //! Result that a caller got for one attempt, and how often it ran.
+  //! Result that a caller got for one attempt, and how often the attempt
+  //! ran at an endpoint.
   struct CallOutcome {
     std::string organisation;
     std::string key;
@@ -43,11 +44,13 @@
     RunState run_state = RunState::kNotRun;
     int runs = 0;
     int64_t worst_case = 0;
-    size_t entry = 0;
+    size_t entry_instance = 0;  //!< Number of the instance that was called.
+    //! Refused for its budget although the unspent tokens cover the worst case.
     bool falsely_refused = false;
     bool settle_requested = false;  //!< The charge went to the coordinator.
-    //! Every instance that held the charge, or the void of a withheld answer,
-    //! was killed before it was in the log.
+    //! The charge may be missing from the log, because every instance that held
+    //! it was killed; or the record that voids the charge of a withheld answer
+    //! may be missing, because the entry was killed.
     bool charge_lost = false;
   };
 
@@ -73,9 +76,9 @@
   void SetLostAnswerRate(double rate) { lost_answer_rate_ = rate; }
   void SetLostMessageRate(double rate) { lost_message_rate_ = rate; }
   void CutLink(size_t from, size_t to, bool cut);
-  //! Fraction of calls whose connection to the endpoint is refused (one third
-  //! of them) or cut (the others).
-  void SetCutCallRate(double rate) { cut_call_rate_ = rate; }
+  //! Fraction of calls that fail: the endpoint refuses one third of them
+  //! without a run, the others lose their connection.
+  void SetFailedCallRate(double rate) { failed_call_rate_ = rate; }
   //! Ends all faults, resumes paused instances and restarts killed ones.
   void EndAllFaults();
 
@@ -111,8 +114,9 @@
 
   struct CheckResult {
     std::string violation;  //!< Empty if all guarantees hold.
-    //! Keys with a mismatch of delivery and charge that is explained by the
-    //! kill of every instance that held the charge or its void.
+    //! Number of keys that were delivered and not charged, or charged and not
+    //! delivered, because instances that held the charge or its void record
+    //! were killed (CallOutcome::charge_lost).
     int lost_charges = 0;
   };
 
@@ -124,7 +128,7 @@
   struct Node {
     std::string address;
     std::string data_centre;
-    int centre = 0;
+    int data_centre_index = 0;
     uint64_t generation = 0;  //!< Raised by each start and kill.
     uint64_t incarnation = 0;
     bool alive = false;
@@ -144,8 +148,8 @@
   void RunOn(size_t i, std::function<void(Node&)> event, Millis delay);
   void Tick(size_t i);
   void Flush(size_t i);
-  void Send(size_t from, const Outbox::Message& letter);
-  void AppendToLog(size_t i, const Coordinator::StreamAppend& order);
+  void Send(size_t from, const Outbox::Message& outgoing);
+  void AppendToLog(size_t i, const Coordinator::StreamAppend& append);
   void ReadStream(size_t i, const std::string& stream, uint64_t from);
   void CheckExits(size_t i);
   void HandleNotice(size_t i, const EntryNotice& notice);
@@ -155,6 +159,7 @@
   void PerformAction(size_t i, uint64_t attempt, const FlowAction& action);
   void CallEndpoint(size_t i, uint64_t attempt, int64_t worst_case);
   void MarkLostCharges(size_t killed);
+  //! Wall time at the start of the simulation.
   static constexpr Millis kWallStart{1700000000000};
 
   static void CheckKey(const std::string& key,
@@ -181,7 +186,7 @@
   bool log_down_ = false;
   double lost_answer_rate_ = 0;
   double lost_message_rate_ = 0;
-  double cut_call_rate_ = 0;
+  double failed_call_rate_ = 0;
 };
 
 }  // namespace tamaracktrail
--- a/tests/support/fake_fleet_checker.cpp
+++ b/tests/support/fake_fleet_checker.cpp
@@ -67,7 +67,8 @@
     const bool claims_not_run =
         outcome.done && outcome.run_state == RunState::kNotRun;
     if (claims_not_run && outcome.runs > 0) {
-      out.violation = absl::StrCat("key ", outcome.key, " ran, told not_run");
+      out.violation = absl::StrCat("key ", outcome.key,
+                                   " ran and its caller got run state not_run");
     }
   }
   std::map<std::string, LedgerFold> folds;
@@ -88,13 +89,13 @@
                          CheckResult& out) {
   int runs = 0;
   bool delivered = false;
-  bool settle_requested = false;
+  bool killed_while_settling = false;
   bool charge_lost = false;
   for (const CallOutcome* it : attempts) {
     runs += it->runs;
     delivered |= it->done && it->code == ResultCode::kOk;
     // The entry was killed after it had passed the charge to the coordinator.
-    settle_requested |= it->settle_requested && !it->done;
+    killed_while_settling |= it->settle_requested && !it->done;
     charge_lost |= it->charge_lost;
   }
   if (!attempts.front()->repeatable && runs > 1) {
@@ -105,7 +106,7 @@
     out.violation = absl::StrCat("key ", key, " was charged and did not run");
   }
   const bool uncharged = delivered && !charged;
-  const bool undelivered = charged && !delivered && !settle_requested;
+  const bool undelivered = charged && !delivered && !killed_while_settling;
   if ((uncharged || undelivered) && charge_lost) {
     ++out.lost_charges;
   } else if (uncharged) {
--- a/tests/support/fault_proxy.cpp
+++ b/tests/support/fault_proxy.cpp
@@ -16,6 +16,7 @@
 namespace {
 
 constexpr Millis kDelay{150};
+//! Longest time that bytes sent to the server may stay unacknowledged.
 constexpr Millis kUnacknowledgedTimeout{60000};
 constexpr size_t kReadBytes = 65536;
 
@@ -101,8 +102,8 @@
     }
   }
 
-  //! Closes both connections once the other side has closed and all its bytes
-  //! are sent.
+  //! Closes both connections once the side opposite to `to` has closed and all
+  //! bytes received from it are sent to `to`.
   void CloseAfterLastByte(Side* to) {
     if (to->end_received && to->stream && to->stream->pending_bytes() == 0) {
       Close(false);
--- a/tests/support/fault_proxy.h
+++ b/tests/support/fault_proxy.h
@@ -21,8 +21,10 @@
     kStall,          //!< Data is held back until the mode changes.
     kStallToServer,  //!< As kStall, only for bytes to the server.
     kStallToClient,  //!< As kStall, only for bytes to the client.
-    kBlackhole,      //!< Open connections never forward a byte again.
-    kReset,          //!< Open and new connections are reset.
+    //! Connections that are open or opened in this mode never forward a byte
+    //! again, even after the mode has changed.
+    kBlackhole,
+    kReset,  //!< Open and new connections are reset.
   };
 
   //! Precondition: `loop` outlives the proxy.
--- a/tests/support/sample_config.cpp
+++ b/tests/support/sample_config.cpp
@@ -63,6 +63,7 @@
                           const std::string& id,
                           const std::string& extra_headers) {
   const bool streaming = route == "report" || route == "ask";
+  // The deadline in ms is below the timeout_ms of the routes.
   return absl::StrCat(
       "POST /", route, "/x HTTP/1.1\r\nHost: h.example\r\nX-Request-Id: ", id,
       "\r\nX-Request-Deadline: 1200\r\nAuthorization: Bearer key-1\r\n",
--- a/tests/support/sample_config.h
+++ b/tests/support/sample_config.h
@@ -18,10 +18,11 @@
                           const std::string& id,
                           const std::string& extra_headers = "");
 
-//! Tokens charged for a completely delivered stream of SampleRequest.
+//! Tokens charged for a completely delivered stream of SampleRequest: 1000 of
+//! the prompt and 5 events of 5 tokens ("stride").
 constexpr int64_t kSampleStreamTokens = 1025;
 
-//! Complete body of such a stream.
+//! Complete body of the stream that answers a SampleRequest.
 std::string SampleStreamBody();
 
 //! The platform's readiness request to the health address.
--- a/tests/support/stand_in_endpoint.cpp
+++ b/tests/support/stand_in_endpoint.cpp
@@ -32,7 +32,7 @@
     const Behaviour& behaviour = endpoint_->behaviour_;
     const auto expected = request_.fields.Find("X-Expected-Instance");
     if (expected && *expected != endpoint_->id_) {
-      Reply(421, "");
+      Reply(421, "");  // Misdirected: meant for another endpoint.
       return;
     }
     if (behaviour.refuse) {
@@ -48,6 +48,7 @@
       Reply(500, "X-Server-Signature");
       return;
     }
+    // Requests without this header get a plain answer, others a stream.
     if (request_.fields.Count("X-Token-Usage") == 0) {
       Reply(200, behaviour.unsigned_answer ? "X-Other" : "X-Server-Signature");
       return;
@@ -88,7 +89,7 @@
     const Behaviour& behaviour = endpoint_->behaviour_;
     if (behaviour.abort_after >= 0 && next_event_ >= behaviour.abort_after) {
       running_ = false;
-      connection_->WriteBody("id: 99\nda");
+      connection_->WriteBody("id: 99\nda");  // An incomplete event.
       connection_->Abort();
       return;
     }
@@ -116,7 +117,7 @@
   const auto [fd, address] = ListenOnFreePort();
   address_ = address;
   server_ = std::make_unique<RelayServer>(
-      loop, fd, 1000,
+      loop, fd, /*max_connections=*/1000,
       [this](CallerConnection* connection, CallerRequest request) {
         return std::make_unique<Task>(this, connection, std::move(request));
       },
--- a/tests/support/stand_in_endpoint.h
+++ b/tests/support/stand_in_endpoint.h
@@ -17,7 +17,7 @@
 class EventLoop;
 
 //! An endpoint as the platform's documentation specifies it: plain answers and
-//! streams, with the faults named there. Not thread-safe.
+//! streams, with the faults of Behaviour. Not thread-safe.
 class StandInEndpoint {
  public:
   //! How requests are answered.
--- a/tests/support/stand_in_engine.cpp
+++ b/tests/support/stand_in_engine.cpp
@@ -23,6 +23,7 @@
   int priority = 5;
   uint64_t next_word = 0;
   uint64_t word_count = 0;
+  //! Index of the word that is sent with the id of another attempt.
   uint64_t wrong_attempt_at = UINT64_MAX;
   bool cancelled = false;
 };
@@ -45,6 +46,7 @@
   uint64_t word_count = kDefaultWordCount;
   const size_t at = prompt.find("words=");
   if (at != std::string::npos) {
+    // Skips the 6 characters of "words=".
     word_count = std::strtoull(prompt.c_str() + at + 6, nullptr, 10);
   }
   return std::min<uint64_t>(word_count, static_cast<uint64_t>(max_tokens));
@@ -313,6 +315,7 @@
   waiting_.clear();
   cache_.clear();
   const int listen_port = port();
+  // Deferred, because Close() frees the server that is handling this request.
   After(0, [this, listen_port] {
     Close();
     After(ControlValue("restart_ms", int64_t{500}),
--- a/tests/support/stand_in_engine.h
+++ b/tests/support/stand_in_engine.h
@@ -18,13 +18,16 @@
 //! and a delayed load report.
 //!
 //! The generated text depends only on the prompt; "words=N" in the prompt
-//! requests N words. A prompt that contains "CRASH" crashes the engine: it cuts
-//! all connections and stops listening for "restart_ms". /cache_events?from=N
-//! reports cached and evicted prefixes after "event_lag_ms" and with gaps
-//! (every "event_gap"th event is dropped). Control keys: "capacity",
-//! "token_ms", "prefill_ms", "cached_prefill_ms", "cache_entries", "leaving",
-//! "load_lag_ms", "cut_after" (chunks; once), "wrong_attempt" (once), "refuse"
-//! (bool), "checks_fencing", "restart_ms".
+//! requests N words. Each word is one token and is sent as one chunk. A prompt
+//! that contains "CRASH" crashes the engine: it cuts the connections of running
+//! requests and stops listening for "restart_ms". /cache_events?from=N reports
+//! cached and evicted prefixes after "event_lag_ms" and with gaps (every
+//! "event_gap"th event is dropped). Control keys: "load" (target to load),
+//! "capacity" (concurrent streams), "token_ms" (between two tokens),
+//! "prefill_ms", "cached_prefill_ms", "cache_entries", "event_gap",
+//! "event_lag_ms", "leaving" (bool), "load_lag_ms", "cut_after" (chunks; once),
+//! "wrong_attempt" (once), "refuse" (bool), "checks_fencing" (bool),
+//! "restart_ms".
 class StandInEngine : public StandInServer {
  public:
   explicit StandInEngine(std::string name);
@@ -70,6 +73,7 @@
     std::string prefix;
   };
 
+  //! Monotonic time in ms and load, oldest first.
   std::deque<std::pair<int64_t, size_t>> load_history_;
   std::deque<CacheEvent> cache_events_;
   uint64_t cache_sequence_ = 0;
--- a/tests/support/stand_in_log.h
+++ b/tests/support/stand_in_log.h
@@ -11,9 +11,9 @@
 
 namespace tamaracktrail {
 
-//! The platform's log. Control keys: "outage" (bool), "delay_ms",
-//! "lose_answers" (number of next appends that take effect and get no answer),
-//! "keep" (entries retained per stream), "appends_per_second".
+//! A stand-in for the platform's log. Control keys: "outage" (bool),
+//! "delay_ms", "lose_answers" (number of next appends that take effect and get
+//! no answer), "keep" (entries retained per stream), "appends_per_second".
 class StandInLog : public StandInServer {
  public:
   uint64_t appends() const { return appends_; }
--- a/tests/support/stand_in_services.h
+++ b/tests/support/stand_in_services.h
@@ -10,10 +10,10 @@
 
 namespace tamaracktrail {
 
-//! A records service whose calls must not be repeated. It counts the runs of
-//! each request id and returns the counts at /ran. Control keys: "delay_ms",
-//! "cut_after_run" (number of next calls that run and get no answer), "refuse",
-//! "leaving".
+//! A plain service named "records" whose calls must not be repeated. It counts
+//! the runs of each request id and returns the counts at /ran. Control keys:
+//! "delay_ms", "cut_after_run" (number of next calls that run and get no
+//! answer), "refuse", "leaving".
 class StandInRecords : public StandInServer {
  public:
   const std::map<std::string, int>& run_counts() const { return run_counts_; }
@@ -27,7 +27,8 @@
   std::map<std::string, int> run_counts_;
 };
 
-//! The platform's list of instances. Changes become visible after "lag_ms".
+//! A stand-in for the platform's list of instances. A change of "instances"
+//! becomes visible after "lag_ms".
 //! Control keys: "instances" (array), "outage", "lag_ms".
 class StandInInstanceList : public StandInServer {
  private:
@@ -39,8 +40,8 @@
   nlohmann::json visible_instances_ = nlohmann::json::array();
 };
 
-//! The platform's weight store with its rate limit. Control keys: "weights"
-//! (array), "per_minute" (reads).
+//! A stand-in for the platform's weight store with its rate limit. Control
+//! keys: "weights" (array), "per_minute" (reads).
 class StandInWeights : public StandInServer {
  private:
   void OnRequest(SoupServerMessage* message,
--- a/tests/support/stand_in_store.h
+++ b/tests/support/stand_in_store.h
@@ -17,7 +17,7 @@
 class EventLoop;
 
 //! The platform's store as its documentation specifies it, for keyed topics
-//! with one partition, with the faults named there. Not thread-safe.
+//! with one partition, with the faults of Faults. Not thread-safe.
 class StandInStore {
  public:
   //! Faults of calls; they can be combined.
@@ -25,8 +25,8 @@
     bool refuse = false;        //!< Answers 503 without effect.
     bool unresponsive = false;  //!< No answer and no effect.
     bool lose_append_answers =
-        false;  //!< Appends take effect and get no answer.
-    Millis delay;
+        false;     //!< Appends take effect and get no answer.
+    Millis delay;  //!< Before each call is handled.
   };
 
   //! Listens on a free port of 127.0.0.1.
@@ -41,8 +41,9 @@
            const std::string& key,
            const std::string& value);
 
-  //! Compacts the log of a topic: reads from older offsets are refused, and
-  //! only the newest record of each key is kept, for Newest() and lists.
+  //! Compacts the log of a topic: reads from offsets before its current end are
+  //! refused. Newest() and ListNewest() are not affected: the newest record of
+  //! each key is kept for them.
   void Compact(const std::string& topic);
 
   //! The newest value of a key; empty if there is none.
@@ -52,10 +53,11 @@
 
  private:
   class Task;
+  //! Last append of a producer; a repeat of it gets the same answer.
   struct Producer {
     uint64_t epoch = 0;
     uint64_t sequence = 0;
-    bool has_sequence = false;
+    bool has_sequence = false;  //!< Whether it has appended in this epoch.
     std::string answer;
   };
   struct Topic {
--- a/tests/transport/log_service_test.cpp
+++ b/tests/transport/log_service_test.cpp
@@ -116,7 +116,7 @@
   EXPECT_EQ(page.end, 3u);
 }
 
-TYPED_TEST(LogServiceTest, ReadAtTheEndIsEmpty) {
+TYPED_TEST(LogServiceTest, ReadOfEmptyStreamReturnsNoEntries) {
   const LogPage page = this->Read(1).value();
   EXPECT_TRUE(page.entries.empty());
   EXPECT_EQ(page.end, 1u);
@@ -155,7 +155,7 @@
   EXPECT_EQ(Read(1).value().entries.size(), 1u);
 }
 
-TEST_F(HttpLogTest, WaitingReadReturnsAfterNextAppend) {
+TEST_F(HttpLogTest, ReadReturnsConcurrentlyAppendedEntry) {
   std::optional<absl::StatusOr<LogPage>> page;
   log_.Read("s", 1, 10, kMinute, [&](auto it) { page = std::move(it); });
   log_.Append("s", "a", [](auto) {});
