--- a/src/coordination/charge_custody.cpp
+++ b/src/coordination/charge_custody.cpp
@@ -23,9 +23,11 @@
                            std::span<const uint64_t> peers,
                            Outbox& outbox) {
   CHECK_EQ(request.charge.entry, self_);
-  HeldCharge held{request, now, now, true, false, false, {}};
+  HeldCharge held{
+      request, now, now, /*own=*/true, /*safe=*/false, /*appended=*/false, {}};
   const uint64_t holder = request.charge.holder;
   if (peers.empty()) {
+    // Makes the broadcast due at the next tick.
     held.sent_at = now - options_.broadcast_interval;
   } else {
     const bool to_holder = holder != self_ && Contains(peers, holder);
@@ -39,8 +41,13 @@
 void ChargeCustody::Hold(Millis now,
                          const SettleRequest& request,
                          Outbox& outbox) {
-  held_.try_emplace(request.charge.attempt,
-                    HeldCharge{request, now, now, false, true, false, {}});
+  held_.try_emplace(request.charge.attempt, HeldCharge{request,
+                                                       now,
+                                                       now,
+                                                       /*own=*/false,
+                                                       /*safe=*/true,
+                                                       /*appended=*/false,
+                                                       {}});
   if (request.charge.holder != self_) {
     outbox.Send(request.charge.entry, SettleReply{request.charge.attempt});
   }
--- a/src/coordination/charge_custody.h
+++ b/src/coordination/charge_custody.h
@@ -39,7 +39,8 @@
 
   enum class Safety { kSafe, kNotSafe };
 
-  //! Whether one of this instance's own charges became safe.
+  //! Result of one of this instance's own charges. A charge is safe once
+  //! another instance or the log holds it too.
   struct SettleResult {
     uint64_t attempt = 0;
     Safety safety = Safety::kNotSafe;
@@ -48,8 +49,8 @@
   ChargeCustody(uint64_t self, Options options);
 
   //! Takes this instance's own charge into custody and sends it to its holder,
-  //! or to one of the peers if the holder is this instance or not in `peers`.
-  //! Precondition: charge.entry is this instance.
+  //! or to the first of the peers if the holder is this instance or not in
+  //! `peers`. Precondition: charge.entry is this instance.
   void Settle(Millis now,
               const SettleRequest& request,
               std::span<const uint64_t> peers,
@@ -86,8 +87,9 @@
   //! the reserved tokens, those of peers with the charged tokens.
   std::vector<KeptShare> UnconfirmedUnderShareOf(uint64_t holder) const;
 
-  //! Returns the held charges of an exited entry, so that their holders learn
-  //! of them before they free its reservations.
+  //! Returns the charges of an exited entry that this instance has in custody.
+  //! The holders of their shares have to know them before they end the entry's
+  //! reservations.
   std::vector<SettleRequest> ChargesOfEntry(uint64_t entry) const;
 
   bool Holds(uint64_t attempt) const { return held_.contains(attempt); }
--- a/src/coordination/coordinator.cpp
+++ b/src/coordination/coordinator.cpp
@@ -43,11 +43,12 @@
     return;
   }
   roles_updated_at_ = now;
-  std::vector<uint64_t> live = membership_.Candidates(now, ExcludedFromRoles());
-  if (live == candidates_ && !keepers_.empty()) {
+  std::vector<uint64_t> candidates =
+      membership_.Candidates(now, ExcludedFromRoles());
+  if (candidates == candidates_ && !keepers_.empty()) {
     return;
   }
-  candidates_ = std::move(live);
+  candidates_ = std::move(candidates);
   ++role_changes_;
   std::vector<std::string> streams;
   for (const auto& shard : shards_) {
@@ -374,22 +375,23 @@
   ended_attempts_[end.attempt] = {open.organisation, now};
   const bool exited = membership_.Exited(open.keeper);
   const std::vector<uint64_t> live = membership_.LivePeers(now);
-  const bool reachable =
+  const bool keeper_is_live =
       open.keeper == self_.incarnation ||
       std::find(live.begin(), live.end(), open.keeper) != live.end();
   Outbox outbox;
-  // Reservations of an exited holder are freed by its next exit sweep. A return
-  // that reaches the log before the release would include tokens that other
-  // instances still account for.
+  // An exited keeper gets no message: its next exit sweep frees the
+  // reservation. A return that reaches the log before the release would include
+  // tokens that other instances still account for.
   if (!exited) {
     ReservationEnd message = end;
     message.holder = open.keeper;
     outbox.Send(open.keeper, message);
   }
-  if (end.abandon && !reachable) {
+  if (end.abandon && !keeper_is_live) {
     outbox.Append(Abandon{end.organisation, end.key, end.attempt});
   }
   DispatchLedgerOutbox(outbox);
+  // Only a ReserveRequest uses the wall time, and none can be queued here.
   DeliverLocalMessages(now, Millis());
 }
 
@@ -404,6 +406,7 @@
   const std::vector<uint64_t> peers = membership_.LivePeers(now);
   custody_.Settle(now, request, peers, outbox);
   DispatchLedgerOutbox(outbox);
+  // Only a ReserveRequest uses the wall time, and none can be queued here.
   DeliverLocalMessages(now, Millis());
 }
 
@@ -522,9 +525,9 @@
   std::map<std::string, uint64_t> reads;
   reads[ControlStreamName()] = control_.read_offset();
   for (const auto& shard : shards_) {
-    const bool shares =
+    const bool holds_share =
         shard->view().fold().TokensHeldBy(self_.incarnation) > 0;
-    if (shares || shard->NeedsRead(Serving(now, shard->number()))) {
+    if (holds_share || shard->NeedsRead(Serving(now, shard->number()))) {
       reads[shard->stream()] = shard->view().read_offset();
     }
   }
@@ -540,7 +543,7 @@
   out.joined = joined();
   out.draining = draining_;
   out.charges_in_custody = custody_.size();
-  out.open_sweeps = exit_sweep_.open();
+  out.open_sweeps = exit_sweep_.open_sweeps();
   out.backlog = control_writer_.backlog();
   out.append_failures = control_writer_.consecutive_failures();
   out.fencing_number = placer_.fencing_number().value_or(0);
--- a/src/coordination/coordinator.h
+++ b/src/coordination/coordinator.h
@@ -31,16 +31,19 @@
 //!
 //! It does no I/O and reads no clock: messages, log entries and the time are
 //! its inputs; messages, appends and notices are its outputs. Outputs are
-//! collected until the Take functions are called. Not thread-safe.
+//! collected until the Take functions are called. `now` is monotonic time,
+//! `wall` is wall clock time. Not thread-safe.
 class Coordinator {
  public:
   struct Options {
     std::string data_centre;
     uint32_t shards = 8;
+    //! Limit of accepted load orders; see ControlFold.
     size_t loads_per_minute = 60;
+    //! Records of the control stream after which a snapshot is due.
     uint64_t control_snapshot_records = 2000;
-    //! Startup wait: time from the first tick until the instance becomes ready,
-    //! unless all known peers are heard from earlier.
+    //! Startup wait: time from the first tick after which the instance becomes
+    //! ready even if some known peers are not live.
     Millis startup_wait{1500};
     //! Longest wait until a trial's record is read back from the log.
     Millis trial_read_back_timeout{3000};
@@ -104,7 +107,8 @@
   void Withdraw(Millis now, const Charge& charge);
   //! Queues a record for the organisation's ledger shard.
   void AppendRecord(const std::string& organisation, Record record);
-  //! Asks whether an attempt may run its content; answered by a ContentVerdict.
+  //! Asks whether the attempt may be sent to an endpoint; answered by a
+  //! ContentVerdict. `content` is the hash of the request's content.
   void CheckContent(Millis now, uint64_t attempt, const std::string& content);
   //! Records that the attempt's endpoint crashed, and asks whether the attempt
   //! may be repeated; answered by a ContentVerdict.
@@ -114,8 +118,9 @@
   void ReportContentEnd(uint64_t attempt,
                         const std::string& content,
                         bool succeeded);
-  //! Replaces the results of the entry's own probes, the endpoints' states and
-  //! the copies that the load calls for, by placement.
+  //! Replaces the results of the entry's own probes, the states of the
+  //! endpoints and, by placement, the number of copies that the demand
+  //! requires.
   void ReportEndpoints(std::vector<ProbeReport> reports,
                        std::vector<Placer::EndpointState> states,
                        std::map<std::string, int> demand);
@@ -149,7 +154,7 @@
   //! Incarnations that have exited. The transport has to drop their connections
   //! together with any data not yet read from them.
   std::vector<uint64_t> TakeExited();
-  //! Joined instances of the data centre that are not among the live peers, by
+  //! Joined instances of the data centre that are draining or not live, by
   //! address. The transport tries to connect to them to detect their exit.
   std::map<std::string, uint64_t> UnresponsiveMembers(Millis now) const;
   //! Heartbeats that are due, with the address to send each to.
@@ -163,8 +168,8 @@
   bool joined() const;
 
   //! Whether this instance can take roles and serve: it has joined, has a
-  //! configuration, and has heard from all known peers or completed the startup
-  //! wait. Until then its entry gets no catalog.
+  //! configuration, and all known peers are live or the startup wait is over.
+  //! Until then its entry gets no catalog.
   bool ready() const { return ready_; }
   const Membership& membership() const { return membership_; }
   const ControlFold& control() const { return control_.fold(); }
@@ -187,10 +192,11 @@
   //! An attempt whose reservation ended without a charge.
   struct EndedAttempt {
     std::string organisation;
-    Millis at;
+    Millis ended_at;
   };
 
-  //! A charge in custody that this instance appends to the log itself.
+  //! A charge in custody that this instance appends to the log itself. `ticket`
+  //! is the one that the shard's LogWriter returned.
   struct CustodyTicket {
     uint32_t shard = 0;
     uint64_t ticket = 0;
@@ -253,7 +259,8 @@
   void TickProbeAssignment(Millis now);
   void StartDueSweeps(Millis now);
   //! Appends each record of `outbox` to the shard of its organisation, with a
-  //! ticket for each charge, and queues the messages.
+  //! ticket for each charge, and queues the messages. Ignores records without
+  //! an organisation.
   void DispatchLedgerOutbox(Outbox& outbox);
   //! Queues the join record on the first tick, then decides when this instance
   //! becomes ready.
@@ -286,13 +293,13 @@
   uint64_t assignment_role_changes_ = 0;
   // Roles depend on the candidates alone. They are cached until the candidates
   // change, since each role costs one hash per candidate.
-  mutable Millis roles_updated_at_{-1};
+  mutable Millis roles_updated_at_{-1};  //!< -1: recompute at the next call.
   mutable std::vector<uint64_t> candidates_;
   mutable std::vector<uint64_t> keepers_;  //!< By shard.
   mutable uint64_t role_changes_ = 0;
   Millis config_requested_at_;
   bool control_caught_up_ = false;
-  Millis term_requested_at_;
+  Millis term_requested_at_;  //!< When a Term record was last queued.
   uint64_t config_version_ = 0;
   Configuration configuration_;
   std::shared_ptr<const Catalog> catalog_;
--- a/src/coordination/coordinator_status.h
+++ b/src/coordination/coordinator_status.h
@@ -22,8 +22,8 @@
     bool keeper = false;
     bool caught_up = false;
     uint64_t next_offset = 0;
-    size_t backlog = 0;
-    size_t reservations = 0;
+    size_t backlog = 0;       //!< Records that are not confirmed yet.
+    size_t reservations = 0;  //!< Open reservations.
     int64_t reserved_tokens = 0;
     int64_t share_tokens = 0;
     uint64_t dropped_batches = 0;
@@ -37,9 +37,10 @@
   bool draining = false;
   size_t charges_in_custody = 0;
   size_t open_sweeps = 0;
-  int64_t stuck_tokens = 0;     //!< Held in shares of exited incarnations.
-  size_t backlog = 0;           //!< Records that are not confirmed yet.
-  int append_failures = 0;      //!< Most consecutive ones on any stream.
+  int64_t stuck_tokens = 0;  //!< Held in shares of exited incarnations.
+  size_t backlog = 0;        //!< Records that are not confirmed yet.
+  //! Largest number of consecutive failed appends on one stream.
+  int append_failures = 0;
   uint64_t fencing_number = 0;  //!< 0 if this instance is not the placer.
   std::vector<PeerStatus> peers;
   std::vector<ShardStatus> shards;
--- a/src/coordination/coordinator_ticks.cpp
+++ b/src/coordination/coordinator_ticks.cpp
@@ -13,9 +13,14 @@
 
 namespace {
 
+//! Time after which a Term record without effect is queued again.
 constexpr Millis kTermRetryInterval{3000};
+//! Minimum time between two configuration requests.
 constexpr Millis kConfigRequestInterval{500};
+//! Time for which ended attempts are kept to answer the queries of keepers.
 constexpr Millis kEndedAttemptRetention = kHour;
+//! Instances other than the designated one write a snapshot only after this
+//! multiple of the records.
 constexpr uint64_t kSnapshotOverdueFactor = 3;
 
 }  // namespace
@@ -88,7 +93,7 @@
   TickPlacer(now);
   TickProbeAssignment(now);
   std::erase_if(ended_attempts_, [&](const auto& it) {
-    return it.second.at + kEndedAttemptRetention < now;
+    return it.second.ended_at + kEndedAttemptRetention < now;
   });
   DeliverLocalMessages(now, wall);
 }
@@ -103,11 +108,11 @@
     return;
   }
   const auto& peers = membership_.peers();
-  const bool all_peers_heard =
-      !peers.empty() && membership_.CountHeardPeers(now) == peers.size();
-  if (all_peers_heard || now >= *started_at_ + options_.startup_wait) {
+  const bool all_peers_live =
+      !peers.empty() && membership_.CountLivePeers(now) == peers.size();
+  if (all_peers_live || now >= *started_at_ + options_.startup_wait) {
     ready_ = true;
-    roles_updated_at_ = Millis(-1);
+    roles_updated_at_ = Millis(-1);  // Recompute at the next call.
     notices_.push_back(CatalogNotice{catalog_});
   }
 }
@@ -208,17 +213,17 @@
   }
   for (const auto& it : exit_evidence_) {
     const uint64_t incarnation = it.first;
-    Millis& at = last_sweep_at_[incarnation];
-    if (now < at + options_.sweep_interval) {
+    Millis& last_sweep_at = last_sweep_at_[incarnation];
+    if (now < last_sweep_at + options_.sweep_interval) {
       continue;
     }
-    at = now;
-    const bool stranded =
+    last_sweep_at = now;
+    const bool has_unreleased_shares =
         std::any_of(shards_.begin(), shards_.end(), [&](const auto& shard) {
           return Serving(now, shard->number()) &&
                  shard->view().fold().TokensHeldBy(incarnation) > 0;
         });
-    if (stranded) {
+    if (has_unreleased_shares) {
       exit_sweep_.Start(incarnation);
     }
   }
@@ -233,27 +238,28 @@
     }
   }
   for (auto& shard : shards_) {
-    std::string designated;
+    std::string snapshot_data_centre;
     uint64_t max_weight = 0;
     for (const std::string& it : data_centres) {
       const uint64_t weight = RendezvousWeight(shard->stream(), it);
       if (weight >= max_weight) {
         max_weight = weight;
-        designated = it;
+        snapshot_data_centre = it;
       }
     }
     Outbox outbox;
     shard->keeper().SetSuspected({suspected.begin(), suspected.end()});
     shard->OnTick(now, wall, Serving(now, shard->number()),
-                  designated == options_.data_centre, outbox);
+                  snapshot_data_centre == options_.data_centre, outbox);
     DispatchShardOutbox(*shard, outbox);
   }
-  const std::vector<uint64_t> live =
+  const std::vector<uint64_t> candidates =
       membership_.Candidates(now, ExcludedFromRoles());
-  const bool designated =
-      RendezvousPick(ControlStreamName(), live) == self_.incarnation;
-  const uint64_t limit = options_.control_snapshot_records *
-                         (designated ? 1 : kSnapshotOverdueFactor);
+  const bool writes_control_snapshots =
+      RendezvousPick(ControlStreamName(), candidates) == self_.incarnation;
+  const uint64_t limit =
+      options_.control_snapshot_records *
+      (writes_control_snapshots ? 1 : kSnapshotOverdueFactor);
   if (control_records_since_snapshot_ >= limit && control_.live()) {
     control_records_since_snapshot_ = 0;
     control_writer_.Add(control_.MakeSnapshot());
@@ -261,19 +267,21 @@
 }
 
 void Coordinator::TickPlacer(Millis now) {
-  const std::vector<uint64_t> live =
+  const std::vector<uint64_t> candidates =
       membership_.Candidates(now, ExcludedFromRoles());
-  const bool chosen = RendezvousPick("placer", live) == self_.incarnation;
+  const bool chosen = RendezvousPick("placer", candidates) == self_.incarnation;
   const auto term = control_.fold().TermOf(options_.data_centre);
-  const bool held = term.has_value() && term->holder == self_.incarnation;
-  const bool wanted = catalog_ != nullptr && !catalog_->placements.empty() &&
-                      control_caught_up_ && chosen && !held;
-  if (wanted && now >= term_requested_at_ + kTermRetryInterval) {
+  const bool holds_term = term.has_value() && term->holder == self_.incarnation;
+  const bool should_request_term = catalog_ != nullptr &&
+                                   !catalog_->placements.empty() &&
+                                   control_caught_up_ && chosen && !holds_term;
+  if (should_request_term && now >= term_requested_at_ + kTermRetryInterval) {
     term_requested_at_ = now;
     control_writer_.Add(Term{options_.data_centre, self_.incarnation});
   }
-  placer_.SetTerm(now, held && !draining_ ? std::optional(term->fencing_number)
-                                          : std::nullopt);
+  placer_.SetTerm(now, holds_term && !draining_
+                           ? std::optional(term->fencing_number)
+                           : std::nullopt);
   if (catalog_ == nullptr) {
     return;
   }
@@ -321,7 +329,7 @@
 
 void Coordinator::Drain() {
   draining_ = true;
-  roles_updated_at_ = Millis(-1);
+  roles_updated_at_ = Millis(-1);  // Recompute at the next call.
 }
 
 bool Coordinator::HoldsCharge(uint64_t attempt) const {
--- a/src/coordination/exit_sweep.h
+++ b/src/coordination/exit_sweep.h
@@ -47,7 +47,7 @@
       std::span<const uint64_t> members);
 
   //! Sweeps that still wait for a report.
-  size_t open() const { return sweeps_.size(); }
+  size_t open_sweeps() const { return sweeps_.size(); }
 
  private:
   struct Sweep {
--- a/src/coordination/log_writer.cpp
+++ b/src/coordination/log_writer.cpp
@@ -13,6 +13,7 @@
 
 namespace {
 
+//! The retry delay is doubled at most this number of times.
 constexpr int kMaxBackoffShift = 2;
 //! An idle writer appends an empty batch once its last one is older than the
 //! writer window divided by this, since it would lose its hash chain after the
@@ -21,6 +22,7 @@
 
 //! Estimates the encoded size. All records but snapshots are small.
 size_t EstimateEncodedBytes(const Record& record) {
+  // Estimate for a record without a snapshot's state.
   constexpr size_t kSmallRecordBytes = 160;
   if (const auto* it = std::get_if<LedgerSnapshot>(&record)) {
     return kSmallRecordBytes + it->state.size();
--- a/src/coordination/membership.cpp
+++ b/src/coordination/membership.cpp
@@ -14,7 +14,7 @@
 
 //! Clocks are assumed to drift apart by at most 1/2000, or 500 ppm.
 constexpr int64_t kDriftDivisor = 2000;
-constexpr int64_t kRoundingMs = 1;  //!< Resolution of the clocks.
+constexpr int64_t kClockResolutionMs = 1;  //!< Part of the drift allowance.
 
 }  // namespace
 
@@ -79,13 +79,13 @@
                                    const Heartbeat& heartbeat,
                                    Peer& peer) {
   // The peer sent this heartbeat after it received the one that this instance
-  // sent at `echo`, which gives the bound. An older bound is reduced by the
-  // possible drift between the two clocks since then.
+  // sent at `echoed_sent_at`, which gives the bound. An older bound is reduced
+  // by the possible drift between the two clocks since then.
   const Millis bound = heartbeat.echoed_sent_at - heartbeat.sent_at;
   if (peer.min_clock_offset.has_value()) {
     const int64_t age = (now - peer.offset_updated_at).count();
-    const Millis old =
-        *peer.min_clock_offset - Millis(age / kDriftDivisor + kRoundingMs);
+    const Millis old = *peer.min_clock_offset -
+                       Millis(age / kDriftDivisor + kClockResolutionMs);
     peer.min_clock_offset = std::max(old, bound);
   } else {
     peer.min_clock_offset = bound;
@@ -139,13 +139,13 @@
 Heartbeat Membership::MakeHeartbeat(Millis now,
                                     const std::string& address,
                                     uint64_t config_version,
-                                    bool draining) {
+                                    bool excluded_from_roles) {
   Heartbeat out;
   out.from = self_;
   out.data_centre = data_centre_;
   out.sequence = ++sequence_;
   out.config_version = config_version;
-  out.draining = draining;
+  out.draining = excluded_from_roles;
   out.sent_at = now;
   const Peer* peer = ByAddress(address);
   if (peer != nullptr && peer->heard_at.has_value()) {
@@ -174,15 +174,16 @@
   return live;
 }
 
-size_t Membership::CountHeardPeers(Millis now) const {
+size_t Membership::CountLivePeers(Millis now) const {
   return static_cast<size_t>(
       std::count_if(peers_.begin(), peers_.end(),
                     [&](const auto& it) { return IsLive(now, it.second); }));
 }
 
-std::vector<uint64_t> Membership::Candidates(Millis now, bool draining) const {
+std::vector<uint64_t> Membership::Candidates(Millis now,
+                                             bool excluded_from_roles) const {
   std::vector<uint64_t> out = LivePeers(now);
-  if (!draining) {
+  if (!excluded_from_roles) {
     out.push_back(self_.incarnation);
   }
   return out;
--- a/src/coordination/placement_spec.h
+++ b/src/coordination/placement_spec.h
@@ -5,13 +5,14 @@
 
 namespace tamaracktrail {
 
-//! Number of endpoints of a data centre that should have a model, adapter or
-//! version loaded.
+//! Number of endpoints of a data centre that should have a model, adapter,
+//! version or role loaded.
 struct PlacementSpec {
   std::string name;
   std::string service;
   std::string data_centre;
-  std::string target;  //!< Name of the model, adapter or version.
+  //! Model, adapter or version, or "role:" and the name of a role.
+  std::string target;
   int min_copies = 1;
   int max_copies = 1;
 
--- a/src/coordination/placer.cpp
+++ b/src/coordination/placer.cpp
@@ -44,12 +44,13 @@
         });
     const auto demand_it = demand.find(placement.name);
     const int requested = demand_it == demand.end() ? 0 : demand_it->second;
-    const int wanted =
+    const int target_copies =
         std::clamp(requested, placement.min_copies, placement.max_copies);
     std::optional<Order> order;
-    if (copies < wanted) {
+    if (copies < target_copies) {
       order = ChooseLoad(now, placement, endpoints);
-    } else if (copies > wanted && !placement.target.starts_with(kRolePrefix)) {
+    } else if (copies > target_copies &&
+               !placement.target.starts_with(kRolePrefix)) {
       order = ChooseUnload(now, placement, endpoints, static_cast<int>(copies));
     }
     if (order.has_value()) {
@@ -74,7 +75,7 @@
     return true;
   }
   if (it == pending_.end() ||
-      now >= it->second.since + options_.order_timeout) {
+      now >= it->second.created_at + options_.order_timeout) {
     return false;
   }
   const Order& order = it->second.order;
@@ -95,7 +96,8 @@
       continue;
     }
     if (IsBusy(now, it)) {
-      return std::nullopt;  // One pending order per placement.
+      // The placement waits, so that it has at most one pending load order.
+      return std::nullopt;
     }
     if (best == nullptr || it.loaded.size() < best->loaded.size()) {
       best = &it;
--- a/src/coordination/placer.h
+++ b/src/coordination/placer.h
@@ -17,9 +17,11 @@
 //! need, from the declared placements, the demand and what the endpoints report
 //! as loaded.
 //!
-//! Only the holder of the data centre's term creates orders. An order states
-//! the desired state: it is recorded, sent once its record is accepted, and
-//! complete when the endpoint's reports show its effect. Not thread-safe.
+//! Only the holder of the data centre's term creates orders: the instance whose
+//! Term record for the data centre was accepted last. Each term has its own
+//! fencing number. An order states the desired state: it is recorded, sent once
+//! its record is accepted, and complete when the endpoint's reports show its
+//! effect. Not thread-safe.
 class Placer {
  public:
   struct Options {
@@ -37,6 +39,8 @@
     std::vector<std::string> loaded;
     bool up = false;
     bool checks_fencing = false;
+    //! Requests open at the endpoint, as counted by this instance or reported
+    //! by the endpoint; the larger number.
     int in_flight = 0;
   };
 
@@ -47,8 +51,8 @@
   //! it holds none. A change discards all pending orders.
   void SetTerm(Millis now, std::optional<uint64_t> fencing_number);
 
-  //! Returns the orders to record now. `demand` is the number of copies that
-  //! the load requires, by placement.
+  //! Returns the orders to record now. `demand` is the number of endpoints
+  //! that should have the target loaded for the current demand, by placement.
   std::vector<Order> Decide(Millis now,
                             const std::vector<PlacementSpec>& placements,
                             const std::vector<EndpointState>& endpoints,
@@ -64,11 +68,12 @@
   //! The latest order to an endpoint.
   struct Pending {
     Order order;
-    Millis since;
+    Millis created_at;
   };
 
-  //! Whether the endpoint may not get an order now, because it is in a handover
-  //! or its latest order has neither taken effect nor timed out.
+  //! Whether the endpoint may not get an order now, because it ignores
+  //! fencing numbers and the term began less than handover_wait ago, or because
+  //! its latest order has neither taken effect nor timed out.
   bool IsBusy(Millis now, const EndpointState& endpoint) const;
   std::optional<Order> ChooseLoad(
       Millis now,
