--- a/src/coordination/draw_each_policy.h
+++ b/src/coordination/draw_each_policy.h
@@ -8,8 +8,8 @@
 
 namespace tamaracktrail {
 
-//! Baseline for comparisons: draws the tokens of each request through the log
-//! and returns the unused part at once. Immutable.
+//! Baseline for comparisons: holds nothing in advance, draws only what queued
+//! requests lack and returns all idle tokens at once. Immutable.
 class DrawEachPolicy {
  public:
   int64_t Draw(const ShareView& view) const {
--- a/src/coordination/entry_notice.h
+++ b/src/coordination/entry_notice.h
@@ -23,7 +23,7 @@
   bool safe = false;
 };
 
-//! Decision on whether an attempt may run its content.
+//! Decision on whether an attempt may be sent to an endpoint; kOk if it may.
 struct ContentVerdict {
   uint64_t attempt = 0;
   ResultCode code = ResultCode::kOk;
--- a/src/coordination/escrow_policy.cpp
+++ b/src/coordination/escrow_policy.cpp
@@ -6,9 +6,11 @@
 
 namespace {
 
-//! Minimum target, in requests of the largest worst case.
+//! Minimum target as a multiple of the largest request. A share with less than
+//! this available counts as low in Yield.
 constexpr int64_t kMinTargetRequests = 4;
-//! Surplus is returned once idle tokens exceed this multiple of the target.
+//! Surplus is returned once idle tokens exceed this multiple of the target by
+//! more than the largest request. The target itself is kept.
 constexpr int64_t kSurplusFactor = 2;
 //! Seconds of demand that a keeper retains when another one requests tokens.
 constexpr double kYieldCoverSeconds = 1;
@@ -22,8 +24,8 @@
   const int64_t even_split = (view.undrawn + view.share) / view.data_centres;
   const auto limit =
       static_cast<int64_t>(hold_fraction_ * static_cast<double>(even_split));
-  // Less than the largest worst case could not serve that request and would
-  // only be withheld from other keepers.
+  // A share smaller than the largest request could not serve it and would only
+  // keep the tokens from other keepers.
   if (limit < view.largest_request) {
     return 0;
   }
@@ -57,15 +59,17 @@
   return excess > view.largest_request ? excess + target : 0;
 }
 
-int64_t EscrowPolicy::Yield(const ShareView& view, int64_t wanted) const {
-  // A remainder of only a few requests is released in full, because it may
-  // complete a reservation at another keeper.
+int64_t EscrowPolicy::Yield(const ShareView& view,
+                            int64_t requested_tokens) const {
+  // If fewer than kMinTargetRequests of the largest requests fit into the
+  // available tokens, all idle ones are returned, because they may complete a
+  // reservation at another keeper.
   const bool low = view.available < kMinTargetRequests * view.largest_request;
   const auto kept_tokens =
       low ? 0
           : static_cast<int64_t>(view.demand_per_second * kYieldCoverSeconds);
   const int64_t idle = view.available - view.queued_tokens - kept_tokens;
-  return std::clamp<int64_t>(idle, 0, wanted);
+  return std::clamp<int64_t>(idle, 0, requested_tokens);
 }
 
 }  // namespace tamaracktrail
--- a/src/coordination/escrow_policy.h
+++ b/src/coordination/escrow_policy.h
@@ -15,16 +15,16 @@
  public:
   //! `hold_fraction` in [0, 1] is the part of an even split between the data
   //! centres that a keeper may hold in advance. With 0 it holds nothing in
-  //! advance: few tokens are idle in the wrong data centre, but a data centre
-  //! that loses its connection soon refuses requests. With 1 it holds up to the
-  //! complete even split. `demand_cover` is the time for which the tokens held
-  //! in advance should cover the demand.
+  //! advance: few tokens are idle in a data centre without demand, but a data
+  //! centre that loses its connection soon refuses requests. With 1 it holds up
+  //! to the complete even split. `demand_cover` is the time for which the
+  //! tokens held in advance should cover the demand.
   EscrowPolicy(double hold_fraction, Millis demand_cover)
       : hold_fraction_(hold_fraction), demand_cover_(demand_cover) {}
 
   int64_t Draw(const ShareView& view) const;
   int64_t Surplus(const ShareView& view) const;
-  int64_t Yield(const ShareView& view, int64_t wanted) const;
+  int64_t Yield(const ShareView& view, int64_t requested_tokens) const;
   bool requests_from_others() const { return true; }
 
  private:
--- a/src/coordination/keeper.cpp
+++ b/src/coordination/keeper.cpp
@@ -28,7 +28,7 @@
                                Outbox& outbox) {
   if (auto it = reservations_.find(request.attempt);
       it != reservations_.end()) {
-    if (it->second.claimed) {
+    if (it->second.granted) {
       Reply(request, ResultCode::kOk, outbox);
     }
     return;
@@ -41,7 +41,7 @@
   account.largest_request = std::max(account.largest_request, request.tokens);
   account.queue.push_back({request, now + options_.reserve_wait});
   ServeQueue(now, request.organisation, outbox);
-  RequestTokens(now, request.organisation, outbox);
+  DrawOrRequestTokens(now, request.organisation, outbox);
 }
 
 template <SharePolicy Policy>
@@ -80,19 +80,21 @@
 
 template <SharePolicy Policy>
 bool Keeper<Policy>::InProgress(const ReserveRequest& request) const {
-  const auto same = [&](const ReserveRequest& it) {
+  const auto blocks_request = [&](const ReserveRequest& it) {
     return it.key == request.key && it.organisation == request.organisation &&
            !suspected_.contains(it.entry);
   };
   for (const auto& [attempt, it] : reservations_) {
-    if (same(it.request)) {
+    if (blocks_request(it.request)) {
       return true;
     }
   }
   const auto account = accounts_.find(request.organisation);
   return account != accounts_.end() &&
          std::any_of(account->second.queue.begin(), account->second.queue.end(),
-                     [&](const QueuedRequest& it) { return same(it.request); });
+                     [&](const QueuedRequest& it) {
+                       return blocks_request(it.request);
+                     });
 }
 
 template <SharePolicy Policy>
@@ -198,7 +200,7 @@
     if (accounts_.contains(it)) {
       CheckBalance(it);
       ServeQueue(now, it, outbox);
-      RequestTokens(now, it, outbox);
+      DrawOrRequestTokens(now, it, outbox);
     }
   }
 }
@@ -209,8 +211,9 @@
                         const AppliedBatch&,
                         FoldVerdict verdict,
                         Outbox& outbox) {
-  // A fenced append does not settle the reservation; this keeper's own append
-  // of the charge may follow.
+  // The fold has voided this append, because its writer is fenced or the holder
+  // released. It does not settle the reservation: this keeper's own append of
+  // the charge may follow.
   if (record.holder != self_ || verdict == FoldVerdict::kHolderExited) {
     return;
   }
@@ -224,6 +227,7 @@
   }
   outbox.Send(record.entry, ChargeConfirmed{record.attempt});
   if (record.entry != self_) {
+    // This instance may have the charge in custody too.
     outbox.Send(self_, ChargeConfirmed{record.attempt});
   }
 }
@@ -293,12 +297,12 @@
                         FoldVerdict verdict,
                         Outbox& outbox) {
   auto it = reservations_.find(record.attempt);
-  if (it == reservations_.end() || it->second.claimed) {
+  if (it == reservations_.end() || it->second.granted) {
     return;
   }
   const ReserveRequest request = it->second.request;
   if (verdict == FoldVerdict::kAccepted) {
-    it->second.claimed = true;
+    it->second.granted = true;
     Reply(request, ResultCode::kOk, outbox);
     return;
   }
@@ -365,7 +369,7 @@
   for (auto& [organisation, account] : accounts_) {
     ExpireQueue(now, organisation, outbox);
     if (!account.queue.empty()) {
-      RequestTokens(now, organisation, outbox);
+      DrawOrRequestTokens(now, organisation, outbox);
       continue;
     }
     const int64_t available = Available(organisation);
@@ -380,7 +384,7 @@
 void Keeper<Policy>::ExpireClaims(Millis now, Outbox& outbox) {
   std::vector<ReserveRequest> expired;
   for (const auto& [attempt, it] : reservations_) {
-    if (!it.claimed && now >= it.claim_deadline) {
+    if (!it.granted && now >= it.claim_deadline) {
       expired.push_back(it.request);
     }
   }
@@ -397,8 +401,8 @@
 void Keeper<Policy>::QueryEntries(Millis now, Outbox& outbox) {
   std::map<uint64_t, ReservationQuery> queries;
   for (auto& [attempt, it] : reservations_) {
-    if (it.claimed && now >= it.query_at) {
-      it.query_at = now + options_.query_interval;
+    if (it.granted && now >= it.next_query_at) {
+      it.next_query_at = now + options_.query_interval;
       queries[it.request.entry].attempts.push_back(attempt);
     }
   }
@@ -456,9 +460,9 @@
 }
 
 template <SharePolicy Policy>
-void Keeper<Policy>::RequestTokens(Millis now,
-                                   const std::string& organisation,
-                                   Outbox& outbox) {
+void Keeper<Policy>::DrawOrRequestTokens(Millis now,
+                                         const std::string& organisation,
+                                         Outbox& outbox) {
   Account& account = accounts_[organisation];
   if (account.pending_draws > 0) {
     return;
--- a/src/coordination/keeper.h
+++ b/src/coordination/keeper.h
@@ -20,24 +20,24 @@
 namespace tamaracktrail {
 
 //! Manages this instance's shares of the budgets of one ledger shard: grants
-//! reservations from them, turns settled reservations into charges, and claims
-//! non-repeatable requests on the log.
+//! reservations from them, turns settled reservations into charges, and appends
+//! the run claims of non-repeatable requests.
 //!
 //! A granted reservation ends only by evidence: a settlement, a message of the
 //! entry, a charge on the log, or the observed exit of the entry. It never
-//! times out. Only a reservation whose claim is pending does. Not thread-safe.
+//! times out. A reservation whose run claim is pending is not granted yet and
+//! times out after Options::claim_wait. Not thread-safe.
 template <SharePolicy Policy>
 class Keeper {
  public:
   struct Options {
     //! Longest wait for tokens before a request is refused.
     Millis reserve_wait{2000};
-    //! Longest wait for a claim to be read back from the log.
+    //! Longest wait for a run claim to be read back from the log.
     Millis claim_wait{3000};
     //! Minimum time between two share requests for one budget.
     Millis share_request_interval{500};
-    //! Interval at which the entry of an open reservation is queried whether
-    //! the reservation has ended.
+    //! Time between two ReservationQuery messages about an open reservation.
     Millis query_interval{5000};
     int64_t data_centres = 1;
   };
@@ -53,9 +53,8 @@
                  const ReserveRequest& request,
                  Outbox& outbox);
 
-  //! Takes a charge under this keeper's reservation into custody and answers
-  //! with SettleReply. Sends no reply if it knows neither the reservation nor
-  //! the charge.
+  //! Ends the reservation, appends its charge and answers with SettleReply.
+  //! Sends no reply if it knows neither the reservation nor the charge.
   void OnSettle(Millis now, const SettleRequest& request, Outbox& outbox);
 
   //! Handles the end of a reservation without a charge, as reported by its
@@ -116,9 +115,9 @@
 
   struct Reservation {
     ReserveRequest request;
-    bool claimed = true;  //!< False while the claim is pending.
+    bool granted = true;  //!< False while the run claim is pending.
     Millis claim_deadline;
-    Millis query_at;
+    Millis next_query_at;
   };
 
   struct PendingCharge {
@@ -136,9 +135,9 @@
   void EndReservation(uint64_t attempt);
   ResultCode QueueTimeoutCode(const ReserveRequest& request) const;
   ShareView ViewOf(Millis now, const std::string& organisation) const;
-  void RequestTokens(Millis now,
-                     const std::string& organisation,
-                     Outbox& outbox);
+  void DrawOrRequestTokens(Millis now,
+                           const std::string& organisation,
+                           Outbox& outbox);
   void ReturnTokens(const std::string& organisation,
                     int64_t tokens,
                     Outbox& outbox);
--- a/src/coordination/ledger_shard.cpp
+++ b/src/coordination/ledger_shard.cpp
@@ -8,6 +8,8 @@
 
 namespace {
 
+//! Keepers outside the designated data centre write a snapshot only after this
+//! multiple of the records.
 constexpr uint64_t kSnapshotOverdueFactor = 3;
 
 }  // namespace
--- a/src/coordination/ledger_shard.h
+++ b/src/coordination/ledger_shard.h
@@ -25,12 +25,15 @@
 class LedgerShard {
  public:
   struct Options {
+    //! Time for which the state of a request key is kept; older UUIDv7 keys are
+    //! refused. The same on all instances.
     Millis key_window = kHour * 24;
     Keeper<EscrowPolicy>::Options keeper;
     LogWriter::Options writer;
-    double hold = 0.5;                 //!< See EscrowPolicy.
-    Millis cover = kMinute * 10;       //!< See EscrowPolicy.
-    uint64_t snapshot_records = 5000;  //!< Folded between two snapshots.
+    double hold = 0.5;            //!< See EscrowPolicy.
+    Millis cover = kMinute * 10;  //!< See EscrowPolicy.
+    //! Number of applied records after which a snapshot is due.
+    uint64_t snapshot_records = 5000;
   };
 
   //! Precondition: `codec` outlives the shard.
@@ -59,9 +62,9 @@
   void OnReservationEnd(Millis now, const ReservationEnd& end, Outbox& outbox);
   void OnEntryExit(uint64_t entry, Outbox& outbox);
 
-  //! Releases the shares of an exited holder after a complete exit sweep,
-  //! except the tokens in `kept`. Precondition: `kept` has this shard's
-  //! attempts only.
+  //! Queues the record that releases the shares of an exited holder after a
+  //! complete exit sweep, except the tokens in `kept`. Precondition: `kept` has
+  //! this shard's attempts only.
   void OnSweepComplete(uint64_t exited, std::vector<KeptShare> kept);
 
   //! `serving`: this instance is the shard's keeper in its data centre.
--- a/src/coordination/share_policy.h
+++ b/src/coordination/share_policy.h
@@ -9,8 +9,9 @@
 namespace tamaracktrail {
 
 //! Decides the size of a keeper's share of a budget. The choice of policy
-//! affects the rate of false refusals and the log traffic. No policy can cause
-//! overspend, because the ledger fold accepts draws from undrawn tokens only.
+//! affects the rate of requests refused although the budget has enough tokens,
+//! and the log traffic. No policy can cause overspend, because the ledger fold
+//! accepts draws from undrawn tokens only.
 template <class P>
 concept SharePolicy = requires(const P policy, const ShareView& view) {
   //! Tokens to draw from the undrawn part now; 0 for none.
--- a/src/coordination/share_view.h
+++ b/src/coordination/share_view.h
@@ -13,8 +13,8 @@
   int64_t share = 0;             //!< The keeper's share, reservations included.
   int64_t available = 0;         //!< Part of the share that can be reserved.
   int64_t drawn = 0;             //!< Total that this keeper has drawn.
-  int64_t queued_tokens = 0;     //!< Sum of the worst cases of queued requests.
-  int64_t largest_request = 0;   //!< Largest worst case requested so far.
+  int64_t queued_tokens = 0;     //!< Tokens that the queued requests need.
+  int64_t largest_request = 0;   //!< Largest reservation requested so far.
   double demand_per_second = 0;  //!< Exponentially smoothed charge rate.
   int64_t data_centres = 1;      //!< Data centres that share the budget.
 
