--- a/src/coordination/admission_queue.h
+++ b/src/coordination/admission_queue.h
@@ -67,6 +67,7 @@
   Options options_;
   std::vector<Item> items_;  //!< In order of arrival.
   std::map<std::string, Account> accounts_;
+  //! Largest virtual time at which an organisation was served.
   double virtual_time_ = 0;
 };
 
--- a/src/coordination/catalog.cpp
+++ b/src/coordination/catalog.cpp
@@ -10,6 +10,8 @@
 
 namespace {
 
+//! Upper limits of settings. kMaxCapacity also limits the number of copies,
+//! kMaxTokens also the cost of a call.
 constexpr int64_t kMaxCapacity = 100000;
 constexpr int64_t kMaxTokens = 1000000;
 constexpr int64_t kMaxDeadlineMs = 600000;
@@ -108,10 +110,10 @@
     spec.priority = static_cast<int>(reader.Integer(
         section, "priority", kDefaultPriority, 0, kLowestPriority));
     for (const std::string& it : spec.key_hashes) {
-      constexpr size_t kHexChars = 64;
+      constexpr size_t kSha256HexChars = 64;
       const size_t colon = it.find(':');
       if (colon == 0 || colon == std::string::npos ||
-          it.size() - colon - 1 != kHexChars) {
+          it.size() - colon - 1 != kSha256HexChars) {
         reader.AddFault(section, "key_hashes", it,
                         "SALT:HEX as printed by hash-key");
       }
--- a/src/coordination/flow_action.h
+++ b/src/coordination/flow_action.h
@@ -25,11 +25,12 @@
 //! RequestFlow::OnDispatched or OnNoEndpoint.
 struct DispatchCall {
   int try_number = 1;
-  uint64_t resume_from = 0;
+  uint64_t resume_from = 0;  //!< Index of the first chunk to send.
   std::set<std::string> exclude;
 };
 
-//! Cancels the attempt at the endpoint; its further events are ignored.
+//! Cancels the current try at its endpoint; further events of that try are
+//! ignored.
 struct CancelCall {};
 
 //! Requests a check whether the endpoint has crashed; answered by
@@ -54,7 +55,8 @@
   SettleRequest request;
 };
 
-//! Voids a charge after its SettleCharge.
+//! Voids the charge of an earlier SettleCharge, because the caller is gone
+//! before the final event.
 struct WithdrawCharge {
   Charge charge;
 };
@@ -71,7 +73,7 @@
   RunState run_state = RunState::kNotRun;
 };
 
-//! An action that a request flow requests from its caller.
+//! An action that the owner of a request flow has to execute.
 using FlowAction = std::variant<CheckContent,
                                 ReserveRequest,
                                 ReservationEnd,
--- a/src/coordination/request_flow.cpp
+++ b/src/coordination/request_flow.cpp
@@ -30,7 +30,7 @@
 
 RequestFlow::Actions RequestFlow::OnContent(Millis now, ResultCode verdict) {
   if (phase_ == Phase::kRecordingCrash) {
-    return verdict == ResultCode::kOk ? RetryLostAttempt(now) : Fail(verdict);
+    return verdict == ResultCode::kOk ? RetryAfterLoss(now) : Fail(verdict);
   }
   if (phase_ != Phase::kCheckingContent) {
     return {};
@@ -63,7 +63,7 @@
 RequestFlow::Actions RequestFlow::Dispatch() {
   ++tries_;
   phase_ = Phase::kDispatching;
-  return {DispatchCall{tries_, next_sequence_, exclude_}};
+  return {DispatchCall{tries_, next_sequence_, excluded_endpoints_}};
 }
 
 RequestFlow::Actions RequestFlow::OnDispatched(Millis now,
@@ -71,7 +71,7 @@
   CHECK(phase_ == Phase::kDispatching);
   endpoint_ = endpoint;
   phase_ = Phase::kRunning;
-  last_event_ = now;
+  last_event_at_ = now;
   return {};
 }
 
@@ -85,30 +85,30 @@
   if (phase_ != Phase::kRunning) {
     return {};
   }
-  last_event_ = now;
+  last_event_at_ = now;
   switch (event.kind) {
     case UpstreamEvent::Kind::kConnectFailed:
       return RetryNotRun(now, ResultCode::kNoEndpoint);
     case UpstreamEvent::Kind::kRefused:
       return RetryNotRun(now, ResultCode::kEndpointRefused);
     case UpstreamEvent::Kind::kChunk:
-      may_have_reached_endpoint_ = true;
+      may_have_run_ = true;
       return OnChunk(now, event);
     case UpstreamEvent::Kind::kEnd:
-      may_have_reached_endpoint_ = true;
+      may_have_run_ = true;
       return OnEnd(now, event);
     case UpstreamEvent::Kind::kConnectionLost:
-      may_have_reached_endpoint_ = true;
-      return OnAttemptLost(now, ResultCode::kEndpointLost);
+      may_have_run_ = true;
+      return OnTryLost(now, ResultCode::kEndpointLost);
     case UpstreamEvent::Kind::kError:
-      may_have_reached_endpoint_ = true;
+      may_have_run_ = true;
       return Fail(ResultCode::kEndpointError);
   }
   return {};
 }
 
 RequestFlow::Actions RequestFlow::RetryNotRun(Millis, ResultCode code) {
-  exclude_.insert(endpoint_);
+  excluded_endpoints_.insert(endpoint_);
   if (tries_ >= spec_.max_tries || caller_gone_) {
     return Fail(code);
   }
@@ -125,7 +125,7 @@
   }
   if (event.sequence > next_sequence_) {
     Actions out{CancelCall{}};
-    const Actions lost = OnAttemptLost(now, ResultCode::kAnswerIncomplete);
+    const Actions lost = OnTryLost(now, ResultCode::kAnswerIncomplete);
     out.insert(out.end(), lost.begin(), lost.end());
     return out;
   }
@@ -136,7 +136,7 @@
 RequestFlow::Actions RequestFlow::OnEnd(Millis now,
                                         const UpstreamEvent& event) {
   if (event.sequence != next_sequence_) {
-    return OnAttemptLost(now, ResultCode::kAnswerIncomplete);
+    return OnTryLost(now, ResultCode::kAnswerIncomplete);
   }
   Actions out;
   if (!spec_.repeatable) {
@@ -157,12 +157,12 @@
   return out;
 }
 
-RequestFlow::Actions RequestFlow::OnAttemptLost(Millis now, ResultCode code) {
+RequestFlow::Actions RequestFlow::OnTryLost(Millis now, ResultCode code) {
   if (!spec_.repeatable) {
     return Fail(ResultCode::kOutcomeUnknown);
   }
   if (code == ResultCode::kAnswerIncomplete) {
-    return RetryLostAttempt(now);
+    return RetryAfterLoss(now);
   }
   phase_ = Phase::kConfirmingCrash;
   phase_since_ = now;
@@ -174,7 +174,7 @@
     return {};
   }
   if (!crashed) {
-    return RetryLostAttempt(now);
+    return RetryAfterLoss(now);
   }
   phase_ = Phase::kRecordingCrash;
   phase_since_ = now;
@@ -182,8 +182,8 @@
       RecordCrash{Crash{spec_.content, endpoint_, spec_.key, spec_.attempt}}};
 }
 
-RequestFlow::Actions RequestFlow::RetryLostAttempt(Millis) {
-  exclude_.insert(endpoint_);
+RequestFlow::Actions RequestFlow::RetryAfterLoss(Millis) {
+  excluded_endpoints_.insert(endpoint_);
   const bool can_complete = next_sequence_ == 0 || spec_.resumable;
   if (!can_complete || tries_ >= spec_.max_tries) {
     return Fail(ResultCode::kEndpointLost);
@@ -225,7 +225,7 @@
   }
   Actions out;
   if (phase_ == Phase::kRunning) {
-    may_have_reached_endpoint_ = true;
+    may_have_run_ = true;
     out.push_back(CancelCall{});
   }
   const Actions fail = Fail(code);
@@ -237,13 +237,15 @@
   const bool reserving = phase_ == Phase::kReserving &&
                          now >= phase_since_ + spec_.reserve_timeout;
   if (reserving) {
+    // A non-repeatable request also waits until its run claim is read back
+    // from the log.
     return Fail(spec_.repeatable ? ResultCode::kKeeperUnreachable
                                  : ResultCode::kLogUnavailable);
   }
-  if (phase_ == Phase::kRunning && now >= last_event_ + spec_.idle_timeout) {
-    may_have_reached_endpoint_ = true;
+  if (phase_ == Phase::kRunning && now >= last_event_at_ + spec_.idle_timeout) {
+    may_have_run_ = true;
     Actions out{CancelCall{}};
-    const Actions lost = OnAttemptLost(now, ResultCode::kEndpointLost);
+    const Actions lost = OnTryLost(now, ResultCode::kEndpointLost);
     out.insert(out.end(), lost.begin(), lost.end());
     return out;
   }
@@ -253,7 +255,7 @@
 RequestFlow::Actions RequestFlow::Fail(ResultCode code) {
   const RunState run_state = StateFor(code);
   Actions out;
-  if (may_have_reached_endpoint_) {
+  if (may_have_run_) {
     out.push_back(AppendRecord{MakeRun(code)});
   } else {
     out.push_back(
@@ -272,7 +274,7 @@
     return;
   }
   reservation_open_ = false;
-  const bool abandon = !spec_.repeatable && !may_have_reached_endpoint_;
+  const bool abandon = !spec_.repeatable && !may_have_run_;
   out.push_back(ReservationEnd{spec_.organisation, spec_.key, spec_.attempt,
                                holder_, abandon});
   holder_ = 0;
@@ -317,7 +319,7 @@
   if (code == ResultCode::kAlreadyBilled || code == ResultCode::kAlreadyRan) {
     return RunState::kRan;
   }
-  if (!may_have_reached_endpoint_) {
+  if (!may_have_run_) {
     return RunState::kNotRun;
   }
   const bool outcome_unknown =
--- a/src/coordination/request_flow.h
+++ b/src/coordination/request_flow.h
@@ -19,8 +19,8 @@
 //! State machine of one request, from the content check and the reservation to
 //! the final event.
 //!
-//! Each event method returns the actions to execute. The flow reports "not run"
-//! only while no byte of the call can have reached an endpoint, never repeats a
+//! Each event method returns the actions to execute. The flow reports
+//! RunState::kNotRun only if no endpoint can have run the call, never repeats a
 //! non-repeatable call that may have run, and completes an answer only when its
 //! charge is safe. Not thread-safe.
 class RequestFlow {
@@ -46,12 +46,12 @@
   Actions OnCrashVerdict(Millis now, bool crashed);
   Actions OnSettled(Millis now, bool safe);
 
-  //! Handles a caller that disconnected or reads too slowly. Cancels the call,
-  //! except for a non-repeatable one, which runs to its end so that its outcome
-  //! is recorded.
+  //! Ends the request with `code`, because its caller disconnected or reads too
+  //! slowly: cancels a running call, or withdraws the charge. A running
+  //! non-repeatable call goes on to its end, so that its outcome is recorded.
   Actions OnCallerGone(Millis now, ResultCode code);
 
-  //! Enforces the timeouts. Call it several times a second.
+  //! Enforces reserve_timeout and idle_timeout. Call it several times a second.
   Actions OnTick(Millis now);
 
   bool done() const { return phase_ == Phase::kDone; }
@@ -60,7 +60,7 @@
   //! Tokens still reserved under the share of `holder`, for orphan reports.
   int64_t ReservedUnder(uint64_t holder) const;
 
-  //! Endpoint of the latest attempt; empty before the first.
+  //! Endpoint of the latest try; empty before the first.
   const std::string& endpoint() const { return endpoint_; }
   int tries() const { return tries_; }
 
@@ -79,10 +79,10 @@
 
   Actions Dispatch();
   Actions RetryNotRun(Millis now, ResultCode code);
-  Actions RetryLostAttempt(Millis now);
+  Actions RetryAfterLoss(Millis now);
   Actions OnChunk(Millis now, const UpstreamEvent& event);
   Actions OnEnd(Millis now, const UpstreamEvent& event);
-  Actions OnAttemptLost(Millis now, ResultCode code);
+  Actions OnTryLost(Millis now, ResultCode code);
   Actions Fail(ResultCode code);
   void EndReservation(Actions& out);
   Charge MakeCharge(const UpstreamEvent& event) const;
@@ -93,17 +93,17 @@
   RetryBudget* retries_;
   Phase phase_ = Phase::kNew;
   Millis phase_since_;
-  Millis last_event_;
+  Millis last_event_at_;
   uint64_t holder_ = 0;  //!< Of the granted reservation; 0 for none.
   //! The reservation was requested, and neither refused nor ended.
   bool reservation_open_ = false;
-  //! Bytes of a call may have reached an endpoint.
-  bool may_have_reached_endpoint_ = false;
+  //! An endpoint may have run the call.
+  bool may_have_run_ = false;
   bool caller_gone_ = false;
   int tries_ = 0;
   uint64_t next_sequence_ = 0;
   std::string endpoint_;
-  std::set<std::string> exclude_;
+  std::set<std::string> excluded_endpoints_;  //!< Endpoints of failed tries.
   Charge charge_;
 };
 
--- a/src/coordination/service_spec.h
+++ b/src/coordination/service_spec.h
@@ -15,11 +15,15 @@
 
   std::string name;
   Kind kind = Kind::kModel;
-  std::string owner;       //!< Team responsible for the service.
-  std::string model;       //!< Model name in requests; for kModel only.
-  bool resumable = false;  //!< A resumed answer equals the complete one.
-  int priority = 5;        //!< Offset to the organisation's; 5 is neutral.
-  int64_t cost = 1;        //!< Tokens charged per call; for kPlain only.
+  std::string owner;  //!< Team responsible for the service.
+  std::string model;  //!< Model name in requests; for kModel only.
+  //! Whether a call that is sent again with a start index continues the same
+  //! answer.
+  bool resumable = false;
+  //! A request's priority is the organisation's plus this minus 5.
+  int priority = 5;
+  int64_t cost = 1;  //!< Tokens charged per call; for kPlain only.
+  //! Limit and default of a request's max_tokens; for kModel only.
   int64_t max_tokens = 4096;
   Millis deadline{30000};                   //!< Longest wait in the queue.
   std::vector<std::string> non_repeatable;  //!< "METHOD /path-prefix".
--- a/src/coordination/upstream_event.h
+++ b/src/coordination/upstream_event.h
@@ -6,7 +6,7 @@
 
 namespace tamaracktrail {
 
-//! An event of one attempt at an endpoint.
+//! An event of one try of a call at an endpoint.
 struct UpstreamEvent {
   enum class Kind {
     kConnectFailed,   //!< No byte of the call was sent.
