--- a/tests/coordination/coordinator_test.cpp
+++ b/tests/coordination/coordinator_test.cpp
@@ -34,16 +34,16 @@
   Millis now_{1000};
 };
 
-// Guards against an abort during shutdown (exit code 134 in tools/faults.sh): a
-// peer's release arrived after the instance's exit record and before the end of
-// its process.
+// Guards against an abort during shutdown, seen as exit code 134 in
+// tools/faults.sh: a peer may release this instance's shares between its exit
+// record and the end of its process.
 TEST_F(CoordinatorTest, ReleaseAfterOwnExitRecordIsIgnored) {
   coordinator_->Drain();
   coordinator_->QueueExit();
   Feed("ledger-0", Release{1, "swept", {}});
 }
 
-TEST_F(CoordinatorTest, ReleaseOfRunningInstanceTerminatesProcess) {
+TEST_F(CoordinatorTest, ReleaseOfARunningInstanceStopsTheProcess) {
   EXPECT_DEATH(Feed("ledger-0", Release{1, "operator", {}}), "released");
 }
 
@@ -87,7 +87,7 @@
      ReachesAllInstancesWithinSixSecondsOfRecovery) {
   const FaultCase kCases[] = {
       {"no fault", [](auto&) {}, [](auto&) {}},
-      {"one data centre cut from the log",
+      {"one data centre without connection to the log",
        [](auto& it) { it.CutFromLog(1, true); },
        [](auto& it) { it.CutFromLog(1, false); }},
       {"no instance reaches the log", [](auto& it) { it.SetLogDown(true); },
@@ -116,7 +116,7 @@
 }
 
 TEST(ConfigurationPropagationTest,
-     InstanceCutFromLogGetsConfigurationFromPeer) {
+     InstanceDisconnectedFromLogGetsConfigurationFromPeer) {
   FakeFleet::Options options;
   options.data_centres = 1;
   options.coordinator.shards = 1;
@@ -126,7 +126,8 @@
   const uint64_t before = fleet.coordinator(0).config_version();
   fleet.CutFromLog(0, true);
   const uint64_t version = fleet.Publish(before, "next");
-  // Instance 1 read the new version before it was cut from the log.
+  // Stands for an instance 1 that read the new version before it lost its
+  // connection to the log.
   fleet.coordinator(1).OnMessage(fleet.now(), fleet.now(), 99,
                                  ConfigReply{version, {}});
   fleet.RunFor(kSecond * 6);
--- a/tests/coordination/decisions_test.cpp
+++ b/tests/coordination/decisions_test.cpp
@@ -65,7 +65,7 @@
   EXPECT_EQ(it.LivePeers(Millis(1000)).size(), 1u);
 }
 
-TEST(MembershipTest, PeerClockIsBoundedFromBelowByTheTightestEcho) {
+TEST(MembershipTest, ClockOffsetIsTheLargestBoundReducedByDrift) {
   Membership it({"10.0.0.1:1", 1}, "dc", {});
   std::optional<uint64_t> replaced;
   Heartbeat loose = HeartbeatFrom(2, 1, 1, Millis(1000));
@@ -81,6 +81,8 @@
   loose.echoed_sent_at = Millis(3000);
   loose.sent_at = Millis(502900);
   it.OnHeartbeat(Millis(3901), loose, replaced);
+  // 502900 plus the bound of `tight`, 2000 - 501010, is 3890; the drift
+  // allowance is 1 ms.
   EXPECT_EQ(Membership::EarliestLocalTime(peer, Millis(502900)), Millis(3889));
 }
 
@@ -93,10 +95,12 @@
   it.SetSeeds(seeds);
   std::optional<uint64_t> replaced;
   it.OnHeartbeat(Millis(10000), HeartbeatFrom(2, 1, 1, Millis(9000)), replaced);
+  // With 56 peers the heartbeat period is 56 * 20 ms, and the suspicion timeout
+  // is 4 periods, 4480 ms, instead of 2000 ms.
   EXPECT_EQ(it.LivePeers(Millis(12500)).size(), 1u);
 }
 
-TEST(RendezvousTest, SpreadAssignsNoCandidateMoreThanAnEvenPart) {
+TEST(RendezvousTest, AssignGivesNoCandidateMoreThanAnEvenPart) {
   std::vector<std::string> keys;
   for (int i = 0; i < 64; ++i) {
     keys.push_back("ledger-" + std::to_string(i));
@@ -224,7 +228,7 @@
   EXPECT_EQ(Count(Millis(1001)), 0u);
 }
 
-TEST_F(EndpointTableTest, ObservationsFromBeforeAPauseAreIgnored) {
+TEST_F(EndpointTableTest, ObservationsBeforeTheForgottenTimeAreIgnored) {
   Observe("a", EndpointHealth::kUp, Millis(1000));
   table_.ForgetBefore(Millis(1100));
   EXPECT_EQ(Count(Millis(1101)), 0u);
@@ -238,7 +242,7 @@
   EXPECT_FALSE(table_.Candidates(Millis(1003), "s")[0].local);
 }
 
-TEST_F(EndpointTableTest, FailingEndpointsAreEjectedUpToHalfOfTheService) {
+TEST_F(EndpointTableTest, AtMostHalfOfAServicesEndpointsAreEjected) {
   Observe("a", EndpointHealth::kUp, Millis(1000));
   Observe("b", EndpointHealth::kUp, Millis(1000));
   for (const char* name : {"a", "b"}) {
@@ -263,10 +267,11 @@
   Observe("a", EndpointHealth::kUp, Millis(1000), 2);
   table_.SetInstanceCount(4);
   table_.OnDispatch(Millis(1001), "a");
+  // (2 reported + 1 dispatch by each of 4 instances) / capacity 10.
   EXPECT_DOUBLE_EQ(table_.Candidates(Millis(1002), "s")[0].load, 0.6);
 }
 
-// Guards against counting ended short requests for the other senders, which
+// Guards against counting ended requests for the other senders: short requests
 // made an idle endpoint appear full in tools/overhead.sh.
 TEST_F(EndpointTableTest, EndedRequestsAddNoLoad) {
   Observe("a", EndpointHealth::kUp, Millis(1000));
@@ -343,7 +348,7 @@
   std::map<std::string, int> demand_;
 };
 
-TEST_F(PlacerTest, OnlyTheTermHolderIssuesOrdersOneAtATime) {
+TEST_F(PlacerTest, OrdersNeedATermAndAreIssuedOneAtATime) {
   EXPECT_TRUE(Decide(Millis(0)).empty());
   placer_.SetTerm(Millis(0), 5);
   const auto orders = Decide(Millis(1));
@@ -355,7 +360,7 @@
   EXPECT_FALSE(placer_.MaySend(orders[0]));
 }
 
-TEST_F(PlacerTest, LastCopyIsNeverUnloaded) {
+TEST_F(PlacerTest, LastCopyAndEndpointsWithOpenRequestsAreNotUnloaded) {
   placer_.SetTerm(Millis(0), 5);
   endpoints_[0].loaded = {"m"};
   EXPECT_TRUE(Decide(Millis(1)).empty());
--- a/tests/coordination/keeper_test.cpp
+++ b/tests/coordination/keeper_test.cpp
@@ -124,9 +124,9 @@
   EXPECT_EQ(keeper_.reserved(), 0);
 }
 
-// Guards against overspend by an exited entry whose append arrives after its
-// reservation was ended and the tokens were granted again (seed 2044 of the
-// fleet run).
+// An exited entry's append may arrive after its reservation was ended and the
+// tokens were granted again. Charging it would overspend the budget. Seen
+// with seed 2044 of the fleet run in tests/soak.
 TEST_F(KeeperTest, ChargeAppendedByAFencedEntryIsRejected) {
   Reserve(1, 100, "a");
   Sync();
@@ -165,7 +165,8 @@
   EXPECT_EQ(CodeOf(3), Code(ResultCode::kAlreadyBilled));
 }
 
-TEST_F(KeeperTest, ClaimIsGrantedOnReadBackAndAbandonedOnTimeout) {
+TEST_F(KeeperTest,
+       NonRepeatableRequestIsGrantedOnClaimReadBackAndAbandonedOnTimeout) {
   Reserve(1, 10, "fee", true);
   Sync();
   EXPECT_EQ(CodeOf(1), Code(ResultCode::kOk));
@@ -200,7 +201,8 @@
   EXPECT_EQ(CodeOf(2), Code(ResultCode::kBudgetHeldElsewhere));
 }
 
-TEST_F(KeeperTest, PendingDrawIsRefusedAsBudgetUnavailable) {
+TEST_F(KeeperTest,
+       RequestThatWaitsForAPendingDrawIsRefusedAsBudgetUnavailable) {
   Reserve(1, 100, "a");
   outbox_.records.clear();
   Tick(kSecond * 3);
@@ -230,7 +232,7 @@
   EXPECT_EQ(fold_.BudgetOf("org").Share(kSelf), 0);
 }
 
-TEST_F(KeeperTest, ReleaseOfARunningInstanceAbortsTheProcess) {
+TEST_F(KeeperTest, ReleaseOfARunningInstanceStopsTheProcess) {
   EXPECT_DEATH(Apply({Release{kSelf, "operator", {}}}, 99), "released");
 }
 
--- a/tests/coordination/request_flow_test.cpp
+++ b/tests/coordination/request_flow_test.cpp
@@ -29,6 +29,7 @@
   void AdvanceToRunning(RequestFlow& flow) {
     flow.Start(now_);
     flow.OnContent(now_, ResultCode::kOk);
+    // 1000 is ResultCode::kOk.
     flow.OnReserveReply(now_, ReserveReply{9, 1000, 7, 100});
     flow.OnDispatched(now_, "e1");
   }
@@ -75,8 +76,8 @@
   EXPECT_EQ(Find<SettleCharge>(actions)->request.charge.tokens, 100);
 }
 
-//! Expected result of a call whose attempts all end with `kind`.
-struct AttemptEndCase {
+//! Expected result of a call whose tries all end with `kind`.
+struct TryEndCase {
   Kind kind;
   bool repeatable;
   ResultCode code;
@@ -84,7 +85,7 @@
 };
 
 TEST_F(RequestFlowTest, ResultStatesWhetherTheCallRan) {
-  const AttemptEndCase kCases[] = {
+  const TryEndCase kCases[] = {
       {Kind::kConnectFailed, true, ResultCode::kNoEndpoint, RunState::kNotRun},
       {Kind::kConnectFailed, false, ResultCode::kNoEndpoint, RunState::kNotRun},
       {Kind::kRefused, true, ResultCode::kEndpointRefused, RunState::kNotRun},
@@ -95,7 +96,7 @@
       {Kind::kError, false, ResultCode::kEndpointError,
        RunState::kOutcomeUnknown},
   };
-  for (const AttemptEndCase& it : kCases) {
+  for (const TryEndCase& it : kCases) {
     RequestFlow flow = Make(it.repeatable);
     AdvanceToRunning(flow);
     RequestFlow::Actions actions = flow.OnUpstream(now_, Event(it.kind));
@@ -121,7 +122,8 @@
   EXPECT_EQ(Find<DispatchCall>(actions), nullptr);
 }
 
-TEST_F(RequestFlowTest, AbortedStreamIsResumedOnlyIfTheServiceIsResumable) {
+TEST_F(RequestFlowTest,
+       StreamWithLostConnectionIsResumedOnlyIfTheServiceIsResumable) {
   for (const bool resumable : {false, true}) {
     RequestFlow flow = Make(true, resumable);
     AdvanceToRunning(flow);
