--- a/src/cli/relay_settings.cpp
+++ b/src/cli/relay_settings.cpp
@@ -8,8 +8,9 @@
 
 namespace {
 
-//! Limits of the descriptor setting. Callers, endpoints and files need at least
-//! several hundred descriptors.
+//! Range of the descriptor setting. The front reserves 400 descriptors and
+//! admits at least 16 connections per listener, so the setting has an effect
+//! from 434 on.
 constexpr int64_t kMinDescriptors = 64;
 constexpr int64_t kMaxDescriptors = 1000000;
 
@@ -23,6 +24,7 @@
 constexpr int64_t kDefaultGraceMs = 8000;
 constexpr int64_t kMaxGraceMs = 600000;
 
+//! Upper limit of the accumulated retries that can be set.
 constexpr double kMaxRetryExtra = 1e6;
 
 std::string ReadAddress(IniReader* ini, const char* section, const char* key) {
@@ -41,6 +43,7 @@
   IniReader ini(path, text, faults);
   RelaySettings settings;
   settings.instance = ini.String("instance", "name", true).value_or("");
+  // Budget records have the key "INSTANCE/ORGANISATION".
   if (settings.instance.find('/') != std::string::npos) {
     ini.AddFault("instance", "name", settings.instance, "a name without /");
   }
--- a/src/cli/relay_settings.h
+++ b/src/cli/relay_settings.h
@@ -23,8 +23,11 @@
   int store_writes_per_s = 800;  //!< Writing calls of all instances together.
   int file_descriptors = 1024;
   double retry_ratio = 0.2;  //!< Retries per request, over all instances.
-  double retry_extra = 0;    //!< Extra retries per window, over all instances.
-  Millis grace_period;       //!< From the stop signal to the kill.
+  //! Limit of the accumulated retries per service, over all instances; see
+  //! RetryBudget.
+  double retry_extra = 0;
+  //! From the stop signal until the platform kills the process.
+  Millis grace_period;
 
   friend bool operator==(const RelaySettings&, const RelaySettings&) = default;
 
--- a/src/cli/request_trace.cpp
+++ b/src/cli/request_trace.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-//! Returns the value of a key in a line of key=value pairs; empty if the key is
-//! absent.
+//! Returns the value of a key in a line of key=value pairs, up to the next
+//! space; empty if the key is absent.
 std::string ValueOf(const std::string& line, const std::string& key) {
   const std::string prefix = absl::StrCat(" ", key, "=");
   const std::string text = absl::StrCat(" ", line);
@@ -25,8 +25,9 @@
   return text.substr(begin, text.find(' ', begin) - begin);
 }
 
-//! Returns the key under which a line is the latest known state of the
-//! instance, such as "endpoint/ID"; empty if the line changes no state.
+//! Returns the name of the state that a line reports, such as "endpoint/ID"; a
+//! later line with the same name replaces it. Empty if the line reports no
+//! state.
 std::string StateKey(const std::string& line) {
   const std::string event = ValueOf(line, "event");
   if (event == "config" || event == "ready" || event == "not_ready" ||
@@ -54,7 +55,7 @@
     : request_id_(std::move(request_id)) {}
 
 void RequestTrace::Read(const std::string& source, std::istream& in) {
-  std::map<std::string, Record> state;
+  std::map<std::string, LogEntry> state;
   std::string line;
   while (std::getline(in, line)) {
     const size_t start = line.find("time_ms=");
@@ -71,19 +72,19 @@
       state[key] = {time_ms, source, line};
     }
     if (ValueOf(line, "id") == request_id_) {
-      records_.push_back({time_ms, source, line});
+      entries_.push_back({time_ms, source, line});
       AddContext(source, state, line);
     }
   }
 }
 
 void RequestTrace::AddContext(const std::string& source,
-                              const std::map<std::string, Record>& state,
+                              const std::map<std::string, LogEntry>& state,
                               const std::string& line) {
   const std::string organisation = ValueOf(line, "organisation");
-  for (const auto& [key, record] : state) {
+  for (const auto& [key, entry] : state) {
     if (absl::StartsWith(key, "store/")) {
-      records_.push_back(record);
+      entries_.push_back(entry);
     }
   }
   for (const std::string& key :
@@ -94,17 +95,17 @@
         absl::StrCat("claim/", organisation)}) {
     const auto it = state.find(key);
     if (it != state.end()) {
-      records_.push_back({it->second.time_ms, source, it->second.text});
+      entries_.push_back({it->second.time_ms, source, it->second.text});
     }
   }
 }
 
 std::vector<std::string> RequestTrace::Lines() const {
-  std::vector<Record> ordered = records_;
+  std::vector<LogEntry> ordered = entries_;
   std::sort(ordered.begin(), ordered.end());
   ordered.erase(std::unique(ordered.begin(), ordered.end()), ordered.end());
   std::vector<std::string> lines;
-  for (const Record& it : ordered) {
+  for (const LogEntry& it : ordered) {
     lines.push_back(absl::StrCat(it.source, " ", it.text));
   }
   return lines;
--- a/src/cli/request_trace.h
+++ b/src/cli/request_trace.h
@@ -19,26 +19,28 @@
   //! Reads the log of one instance. `source` prefixes its lines in the result.
   void Read(const std::string& source, std::istream& in);
 
-  //! Returns one line per record, without duplicates, ordered by time; empty if
-  //! no log contains the request id.
+  //! Returns the collected log lines without duplicates, ordered by time; empty
+  //! if no log contains the request id.
   std::vector<std::string> Lines() const;
 
  private:
-  struct Record {
+  struct LogEntry {
     int64_t time_ms = 0;
     std::string source;
     std::string text;
 
-    friend auto operator<=>(const Record&, const Record&) = default;
+    friend auto operator<=>(const LogEntry&, const LogEntry&) = default;
   };
 
-  //! Adds the state that was known when `line` was written.
+  //! Adds the latest state of what `line` depends on: its endpoint, its
+  //! organisation's budget and claim, the start, draining, configuration and
+  //! budgets of the instance, and the store.
   void AddContext(const std::string& source,
-                  const std::map<std::string, Record>& state,
+                  const std::map<std::string, LogEntry>& state,
                   const std::string& line);
 
   std::string request_id_;
-  std::vector<Record> records_;
+  std::vector<LogEntry> entries_;
 };
 
 }  // namespace tamaracktrail
--- a/src/protocol/call_dialect.h
+++ b/src/protocol/call_dialect.h
@@ -21,9 +21,9 @@
   std::string expected_endpoint;  //!< Only this endpoint may run the request.
   std::string organisation;       //!< Owner of the caller's API key.
   std::string priority;           //!< 0 to 9; 0 is the highest.
-  std::string signature;      //!< Present in an endpoint's own answers only.
-  std::string not_run;        //!< The endpoint did not run the request.
-  std::string last_event_id;  //!< Resumes a stream after this event.
+  std::string signature;  //!< Present in an endpoint's own answers only.
+  std::string not_run;    //!< Present if the endpoint did not run the request.
+  std::string last_event_id;      //!< Resumes a stream after this event.
   std::string fetch_prefix_from;  //!< Engine that has the prefix cached.
   //! Caller fields that are not forwarded. They include the fields above that
   //! the relay sets itself.
--- a/src/protocol/http_reader.cpp
+++ b/src/protocol/http_reader.cpp
@@ -49,7 +49,7 @@
   std::string target;
   int status = 0;
   std::string reason;
-  int version = 11;
+  int version = 11;  // HTTP/1.1 as Beast codes it.
   HttpFields fields;
   std::string body;
 };
@@ -74,6 +74,8 @@
                                               buf->size() - consumed),
                     ec);
       consumed += n;
+      // With need_more, bytes of the message have arrived even if none of them
+      // was consumed.
       started = started || n > 0 || ec == http::error::need_more;
       if (ec == http::error::need_more) {
         break;
--- a/src/protocol/sse_splitter.h
+++ b/src/protocol/sse_splitter.h
@@ -11,12 +11,13 @@
 //! the bytes of the events. Not thread-safe.
 class SseSplitter {
  public:
-  //! Adds bytes and returns the complete events that the caller has not
-  //! received yet: events whose id is not above `last_id`, which a resumed
-  //! stream may repeat, are dropped.
+  //! Adds bytes and returns the events that are now complete, without those
+  //! whose numeric id is not above `last_event_id`: a resumed stream may repeat
+  //! events.
   std::string Feed(std::string_view bytes);
 
-  //! The stream continues from another source: discards an incomplete event.
+  //! Discards the bytes of an incomplete event. Call before the stream is
+  //! resumed at another endpoint.
   void Restart() { buffer_.clear(); }
 
   //! Removes and returns the bytes of an incomplete event.
