--- a/src/transport/clock.h
+++ b/src/transport/clock.h
@@ -9,8 +9,8 @@
 //! Thread-safe.
 Millis MonotonicNow();
 
-//! Wall-clock time since the Unix epoch; for time stamps that people read.
-//! Thread-safe.
+//! Wall-clock time since the Unix epoch; for time stamps, and for numbers that
+//! must be higher after a restart. Thread-safe.
 Millis WallNow();
 
 }  // namespace tamaracktrail
--- a/src/transport/event_log.cpp
+++ b/src/transport/event_log.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-//! Longest time that a line is buffered before a write is tried, so that a few
-//! hundred lines share one write.
+//! Longest time that a line is buffered before a write is tried, so that
+//! several lines share one write.
 constexpr Millis kFlushDelay{250};
 
 //! Buffered bytes from which the cost of a system call is justified.
--- a/src/transport/event_loop.h
+++ b/src/transport/event_loop.h
@@ -26,6 +26,8 @@
 class EventLoop {
  public:
   using Callback = std::function<void()>;
+  //! Due time in ms, and a number that identifies the timer among those with
+  //! the same due time.
   using TimerId = std::pair<int64_t, uint64_t>;
 
   EventLoop();
--- a/src/transport/peer_exchange.cpp
+++ b/src/transport/peer_exchange.cpp
@@ -19,11 +19,12 @@
 constexpr char kConfigPath[] = "/config";
 constexpr char kEndpointsPath[] = "/endpoints";
 
-//! Connections from peers: all other instances of a data centre may connect at
-//! the same time.
+//! Limit of simultaneous connections from peers. All other instances of a data
+//! centre may connect at the same time, so their number has to stay below it.
 constexpr int kMaxConnections = 256;
 
-//! Sufficient, as a peer in the same region answers within milliseconds.
+//! Timeout of a fetch. It is sufficient, as a peer in the same region answers
+//! within milliseconds.
 constexpr Millis kFetchTimeout{700};
 
 std::string Encode(const PeerExchange::Records& records) {
@@ -49,11 +50,11 @@
           fd,
           kMaxConnections,
           [this](CallerConnection* connection, const CallerRequest& request) {
-            const bool config = request.target == kConfigPath;
-            const bool known = config || request.target == kEndpointsPath;
-            const Records records = !known   ? Records()
-                                    : config ? hooks_.config()
-                                             : hooks_.endpoints();
+            const bool is_config = request.target == kConfigPath;
+            const bool is_known = is_config || request.target == kEndpointsPath;
+            const Records records = !is_known   ? Records()
+                                    : is_config ? hooks_.config()
+                                                : hooks_.endpoints();
             return std::make_unique<FixedAnswerTask>(
                 connection, records.empty() ? 404 : 200, Encode(records));
           },
--- a/src/transport/peer_gossip.cpp
+++ b/src/transport/peer_gossip.cpp
@@ -18,7 +18,8 @@
 
 namespace {
 
-//! Size limit of a report; it has room for a few hundred endpoints.
+//! Size limit of a report, below the largest UDP payload over IPv4, which is
+//! 65,507 bytes. It has room for several hundred endpoints.
 constexpr size_t kMaxReportBytes = 60000;
 
 //! Reports received per wake-up; the rest wait for the next one.
--- a/src/transport/peer_gossip.h
+++ b/src/transport/peer_gossip.h
@@ -29,13 +29,15 @@
     //! complete.
     int64_t directory_age_ms = 0;
     std::string address;  //!< The sender's address for PeerExchange.
+    //! The sender's own load on each endpoint, by the hash of the endpoint's
+    //! incarnation.
     std::vector<std::pair<uint64_t, EndpointLoad>> loads;
     //! Hashes of the content and of the endpoint for each crash; see
     //! CrashGuard.
     std::vector<std::pair<uint64_t, uint64_t>> crashes;
 
     //! Whether the reports agree in configuration version, loads and crashes;
-    //! the directory's age is not compared.
+    //! the other fields are not compared.
     bool HasSameContent(const Report& other) const {
       return config_version == other.config_version && loads == other.loads &&
              crashes == other.crashes;
--- a/src/transport/relay/caller_connection.cpp
+++ b/src/transport/relay/caller_connection.cpp
@@ -23,8 +23,8 @@
 //! Bytes of pipelined requests that are read while one is in progress.
 constexpr size_t kMaxReadAheadBytes = 64 * 1024;
 
-//! Unsent bytes of an answer above which its source is paused.
-constexpr size_t kCongestedBytes = 256 * 1024;
+//! While more bytes of an answer than this are unsent, its source is paused.
+constexpr size_t kMaxUnsentBytes = 256 * 1024;
 
 //! Time for which input is still read and discarded after the last answer:
 //! closing a connection with unread bytes would reset it, and the caller could
@@ -83,11 +83,11 @@
   }
   const absl::Status fed = reader_->Feed(&input_);
   if (absl::IsResourceExhausted(fed)) {
-    Refuse(431, "Request Header Fields Too Large");
+    RejectRequest(431, "Request Header Fields Too Large");
     return;
   }
   if (!fed.ok()) {
-    Refuse(400, "Bad Request");
+    RejectRequest(400, "Bad Request");
     return;
   }
   const uint64_t declared_length =
@@ -95,7 +95,7 @@
   if (reader_->head_done() &&
       std::max<uint64_t>(declared_length, reader_->body().size()) >
           limits().max_body_bytes) {
-    Refuse(413, "Content Too Large");
+    RejectRequest(413, "Content Too Large");
     return;
   }
   if (reader_->done()) {
@@ -121,7 +121,7 @@
   task_->Start();
 }
 
-void CallerConnection::Refuse(int status, const char* reason) {
+void CallerConnection::RejectRequest(int status, const char* reason) {
   server_->OnBadRequest(status);
   keep_alive_ = false;
   answer_begun_ = false;
@@ -214,8 +214,8 @@
   server_->Defer(this, [this] { Close(); });
 }
 
-bool CallerConnection::congested() const {
-  return stream_->pending_bytes() > kCongestedBytes;
+bool CallerConnection::output_is_full() const {
+  return stream_->pending_bytes() > kMaxUnsentBytes;
 }
 
 void CallerConnection::OnDrained() {
@@ -247,7 +247,7 @@
   } else if (phase_ == Phase::kReading && request_begun_) {
     const bool head_done = reader_ != nullptr && reader_->head_done();
     if (!head_done && waited > limits().header_timeout) {
-      Refuse(408, "Request Timeout");
+      RejectRequest(408, "Request Timeout");
     } else if (waited > limits().idle_timeout) {
       Close();
     }
--- a/src/transport/relay/caller_connection.h
+++ b/src/transport/relay/caller_connection.h
@@ -49,9 +49,9 @@
 
   //! Whether the caller reads so slowly that the source of the answer has to
   //! pause.
-  bool congested() const;
+  bool output_is_full() const;
   bool answer_begun() const { return answer_begun_; }
-  bool busy() const { return task_ != nullptr; }
+  bool has_open_request() const { return task_ != nullptr; }
 
   //! Refuses a request whose head is late, and closes a connection that
   //! exceeded its timeout.
@@ -65,7 +65,7 @@
   void OnFailed(const absl::Status& status) override;
 
   void ReadRequest();
-  void Refuse(int status, const char* reason);
+  void RejectRequest(int status, const char* reason);
   void StartTask();
   void FinishTask();
   void StartLingering();
@@ -79,7 +79,7 @@
   std::unique_ptr<RequestTask> task_;
   std::string input_;
   Phase phase_ = Phase::kReading;
-  Millis waiting_since_;  //!< What the timeouts of the phase count from.
+  Millis waiting_since_;  //!< Start of the current timeout.
   bool request_begun_ = false;
   bool keep_alive_ = true;
   bool is_head_request_ = false;
--- a/src/transport/relay/connection_pool.cpp
+++ b/src/transport/relay/connection_pool.cpp
@@ -10,15 +10,15 @@
 namespace tamaracktrail {
 
 //! Watches one idle connection and removes it on any input or failure.
-class ConnectionPool::Idle : public TcpStream::Observer {
+class ConnectionPool::IdleConnection : public TcpStream::Observer {
  public:
-  Idle(ConnectionPool* pool,
-       uint64_t endpoint,
-       std::unique_ptr<TcpStream> stream,
-       Millis idle_since,
-       Millis expires_at)
+  IdleConnection(ConnectionPool* pool,
+                 uint64_t key,
+                 std::unique_ptr<TcpStream> stream,
+                 Millis idle_since,
+                 Millis expires_at)
       : pool_(pool),
-        endpoint_(endpoint),
+        key_(key),
         stream_(std::move(stream)),
         idle_since_(idle_since),
         expires_at_(expires_at) {
@@ -35,39 +35,39 @@
 
   void OnFailed(const absl::Status&) override { pool_->Remove(this, true); }
 
-  uint64_t endpoint() const { return endpoint_; }
+  uint64_t key() const { return key_; }
   Millis idle_since() const { return idle_since_; }
   Millis expires_at() const { return expires_at_; }
   std::unique_ptr<TcpStream> Release() { return std::move(stream_); }
 
  private:
   ConnectionPool* pool_;
-  uint64_t endpoint_;
+  uint64_t key_;
   std::unique_ptr<TcpStream> stream_;
   Millis idle_since_;
   Millis expires_at_;
 };
 
-ConnectionPool::ConnectionPool(EventLoop* loop, BrokenCallback on_broken)
-    : loop_(loop), on_broken_(std::move(on_broken)) {}
+ConnectionPool::ConnectionPool(EventLoop* loop, FailedCallback on_failed)
+    : loop_(loop), on_failed_(std::move(on_failed)) {}
 
 ConnectionPool::~ConnectionPool() = default;
 
-std::unique_ptr<TcpStream> ConnectionPool::Take(uint64_t endpoint,
-                                                Millis max_idle) {
-  const auto it = idle_.find(endpoint);
+std::unique_ptr<TcpStream> ConnectionPool::Take(uint64_t key, Millis max_idle) {
+  const auto it = idle_.find(key);
   if (it == idle_.end()) {
     return nullptr;
   }
   const Millis now = loop_->Now();
   std::unique_ptr<TcpStream> stream;
   while (!it->second.empty() && stream == nullptr) {
-    const std::unique_ptr<Idle> newest = std::move(it->second.back());
+    const std::unique_ptr<IdleConnection> newest = std::move(it->second.back());
     it->second.pop_back();
     if (now >= newest->expires_at()) {
       continue;
     }
     if (now - newest->idle_since() > max_idle) {
+      // The others have been idle for longer.
       break;
     }
     stream = newest->Release();
@@ -78,12 +78,12 @@
   return stream;
 }
 
-void ConnectionPool::Put(uint64_t endpoint,
+void ConnectionPool::Put(uint64_t key,
                          std::unique_ptr<TcpStream> stream,
                          Millis keep_alive) {
   const Millis now = loop_->Now();
-  idle_[endpoint].push_back(std::make_unique<Idle>(
-      this, endpoint, std::move(stream), now, now + keep_alive));
+  idle_[key].push_back(std::make_unique<IdleConnection>(
+      this, key, std::move(stream), now, now + keep_alive));
 }
 
 void ConnectionPool::OnTick() {
@@ -95,9 +95,9 @@
   }
 }
 
-void ConnectionPool::Remove(Idle* idle, bool broken) {
-  const uint64_t endpoint = idle->endpoint();
-  const auto it = idle_.find(endpoint);
+void ConnectionPool::Remove(IdleConnection* idle, bool failed) {
+  const uint64_t key = idle->key();
+  const auto it = idle_.find(key);
   if (it != idle_.end()) {
     std::erase_if(it->second,
                   [&](const auto& other) { return other.get() == idle; });
@@ -105,14 +105,14 @@
       idle_.erase(it);
     }
   }
-  if (broken) {
-    on_broken_(endpoint);
+  if (failed) {
+    on_failed_(key);
   }
 }
 
 size_t ConnectionPool::size() const {
   size_t n = 0;
-  for (const auto& [endpoint, idle] : idle_) {
+  for (const auto& [key, idle] : idle_) {
     n += idle.size();
   }
   return n;
--- a/src/transport/relay/connection_pool.h
+++ b/src/transport/relay/connection_pool.h
@@ -15,16 +15,18 @@
 class EventLoop;
 class TcpStream;
 
-//! Idle connections to endpoints, by the hash of the endpoint's incarnation.
+//! Idle connections by a key that the user chooses, such as the hash of an
+//! endpoint's incarnation or of an address.
 //!
 //! An idle connection on which bytes, the end of the stream or an error arrive
 //! is closed, as bytes without a request belong to no answer. Not thread-safe.
 class ConnectionPool {
  public:
-  using BrokenCallback = std::function<void(uint64_t endpoint)>;
+  using FailedCallback = std::function<void(uint64_t key)>;
 
-  //! `on_broken` is called for each idle connection that failed.
-  ConnectionPool(EventLoop* loop, BrokenCallback on_broken);
+  //! `on_failed` is called for each idle connection that failed, but not if the
+  //! peer closed it in order.
+  ConnectionPool(EventLoop* loop, FailedCallback on_failed);
   ~ConnectionPool();
 
   ConnectionPool(const ConnectionPool&) = delete;
@@ -32,13 +34,11 @@
 
   //! Returns the most recently used connection if it was idle for at most
   //! `max_idle`, or nullptr.
-  std::unique_ptr<TcpStream> Take(uint64_t endpoint, Millis max_idle);
+  std::unique_ptr<TcpStream> Take(uint64_t key, Millis max_idle);
 
   //! Keeps a connection for at most `keep_alive`. Precondition: a complete
   //! answer and no byte beyond it was read.
-  void Put(uint64_t endpoint,
-           std::unique_ptr<TcpStream> stream,
-           Millis keep_alive);
+  void Put(uint64_t key, std::unique_ptr<TcpStream> stream, Millis keep_alive);
 
   //! Closes connections that have expired.
   void OnTick();
@@ -46,13 +46,14 @@
   size_t size() const;
 
  private:
-  class Idle;
+  class IdleConnection;
 
-  void Remove(Idle* idle, bool broken);
+  void Remove(IdleConnection* idle, bool failed);
 
   EventLoop* loop_;
-  BrokenCallback on_broken_;
-  std::unordered_map<uint64_t, std::vector<std::unique_ptr<Idle>>> idle_;
+  FailedCallback on_failed_;
+  std::unordered_map<uint64_t, std::vector<std::unique_ptr<IdleConnection>>>
+      idle_;
 };
 
 }  // namespace tamaracktrail
--- a/src/transport/relay/endpoint_call.cpp
+++ b/src/transport/relay/endpoint_call.cpp
@@ -12,13 +12,14 @@
 
 namespace {
 
-//! Limit for the head of an answer, far above what endpoints send.
+//! Limit for the head of an answer; the heads that endpoints send are far
+//! smaller.
 constexpr uint32_t kMaxAnswerHeadBytes = 64 * 1024;
 
 //! Bytes of one read; the rest is read on the next event.
 constexpr size_t kReadBytes = 64 * 1024;
 
-//! Idle connections are kept this long if the endpoint sends no Keep-Alive
+//! Idle connections are kept for this time if the endpoint sends no Keep-Alive
 //! timeout.
 constexpr Millis kDefaultKeepAlive{8000};
 
@@ -72,8 +73,8 @@
     SendRequest();
     return;
   }
-  auto connecting = TcpStream::Connect(loop_, options_.address,
-                                       options_.unacknowledged_timeout, this);
+  auto connecting =
+      TcpStream::Connect(loop_, options_.address, options_.ack_timeout, this);
   if (!connecting.ok()) {
     const absl::Status& status = connecting.status();
     loop_->Defer([this, alive = alive_, status] {
--- a/src/transport/relay/endpoint_call.h
+++ b/src/transport/relay/endpoint_call.h
@@ -48,8 +48,8 @@
     std::string address;       //!< "ip:port".
     bool expects_body = true;  //!< False for the HEAD method.
     Millis connect_timeout;
-    Millis unacknowledged_timeout;  //!< Of sent bytes; see TcpStream::Connect.
-    Millis max_idle;                //!< Of a connection taken from the pool.
+    Millis ack_timeout;  //!< See TcpStream::Connect.
+    Millis max_idle;     //!< Of a connection taken from the pool.
   };
 
   //! Precondition: loop, pool and observer outlive the call.
--- a/src/transport/relay/http_fetch.cpp
+++ b/src/transport/relay/http_fetch.cpp
@@ -11,7 +11,8 @@
 
 namespace {
 
-//! Connect timeout within a region; after a lost SYN a new connection is made.
+//! Connect timeout within a region. After a lost SYN the call fails before the
+//! kernel sends the SYN again, so that its user can repeat it earlier.
 constexpr Millis kConnectTimeout{500};
 
 //! Connections that were idle for longer are not reused, as the peer may have
@@ -33,7 +34,7 @@
   options.endpoint = StableHash(address);
   options.address = address;
   options.connect_timeout = std::min(kConnectTimeout, timeout);
-  options.unacknowledged_timeout = timeout;
+  options.ack_timeout = timeout;
   options.max_idle = kMaxIdle;
   call_ = std::make_unique<EndpointCall>(loop, pool, options, this);
   std::string head =
--- a/src/transport/relay/relay_context.cpp
+++ b/src/transport/relay/relay_context.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-//! Prompt prefixes in the index; each takes about 100 bytes.
+//! Prompt prefixes in the index: 2 MB at 100 bytes each.
 constexpr size_t kPrefixIndexCapacity = 20000;
 
 //! Fraction of the fleet's retry budget that is used. The rest allows for
-//! instances that start and for windows that do not begin at the same time.
+//! instances that have started and that the others do not count yet.
 constexpr double kRetryBudgetFraction = 0.8;
 
 }  // namespace
--- a/src/transport/relay/relay_context.h
+++ b/src/transport/relay/relay_context.h
@@ -38,7 +38,8 @@
     uint64_t incarnation = 0;
     std::string boot;          //!< Identifies the boot of the machine.
     double retry_ratio = 0.2;  //!< Retries per request, over all instances.
-    double retry_extra = 0;    //!< More retries per window, over all instances.
+    //! Limit of the accumulated retries per service, over all instances.
+    double retry_extra = 0;
   };
 
   //! Precondition: loop, log and metrics outlive the context.
@@ -49,13 +50,13 @@
                Options options);
   ~RelayContext();
 
-  //! Puts a configuration into force.
+  //! Applies a configuration to requests that arrive from now on.
   void SetConfig(std::shared_ptr<const RoutingConfig> next);
 
   //! Whether callers are sent to other instances.
   bool DivertsCallers() const { return outage.active() || congestion.active(); }
 
-  //! Number of instances that share the budgets and the retry budget.
+  //! Sets the number of instances that share the budgets and the retry budget.
   void SetInstances(int n);
 
   //! This instance's part of the retry budget of a service; created on first
@@ -87,11 +88,13 @@
   int instances = 1;
   std::map<std::string, RetryBudget> retry_budgets;
   std::set<RelayTask*> waiting_for_share;
-  //! During shutdown, no stream is admitted after `last_stream_at`, and all
-  //! answers have to be complete by `ends_at`. 0 before the shutdown.
+  //! During shutdown, no stream is admitted after `stream_admission_end`, and
+  //! all answers have to be complete by `exit_deadline`. Both are 0 before the
+  //! shutdown.
   Millis stream_admission_end;
   Millis exit_deadline;
-  //! False while the log cannot be reached, so that shares cannot grow.
+  //! False while the store's budget records cannot be read, so that shares
+  //! cannot grow.
   std::function<bool()> shares_can_grow = [] { return true; };
   //! Called when a share is insufficient for a request.
   std::function<void()> on_share_insufficient = [] {};
--- a/src/transport/relay/relay_limits.h
+++ b/src/transport/relay/relay_limits.h
@@ -14,10 +14,10 @@
 constexpr Millis kMaxRetryAfter{3000};
 
 //! Retry-After by the reason of the refusal: the time after which the condition
-//! is likely to have changed. The retry goes to another instance, whose share
-//! may be larger.
+//! is likely to have changed.
 constexpr Millis kNoEndpointRetryAfter{400};
 constexpr Millis kNoConfigRetryAfter{500};
+//! The retry goes to another instance, whose share may be larger.
 constexpr Millis kNoShareRetryAfter{150};
 
 }  // namespace tamaracktrail
--- a/src/transport/relay/relay_server.cpp
+++ b/src/transport/relay/relay_server.cpp
@@ -86,9 +86,9 @@
 }
 
 size_t RelayServer::open_requests() const {
-  return static_cast<size_t>(
-      std::count_if(connections_.begin(), connections_.end(),
-                    [](const auto& it) { return it.second->busy(); }));
+  return static_cast<size_t>(std::count_if(
+      connections_.begin(), connections_.end(),
+      [](const auto& it) { return it.second->has_open_request(); }));
 }
 
 std::unique_ptr<RequestTask> RelayServer::MakeTask(CallerConnection* connection,
--- a/src/transport/relay/relay_server.h
+++ b/src/transport/relay/relay_server.h
@@ -16,7 +16,8 @@
 class CallerConnection;
 class Metrics;
 
-//! Accepts connections of callers and owns them. Not thread-safe.
+//! Accepts HTTP connections of callers, health checks, metrics readers or
+//! peers, and owns them. Not thread-safe.
 class RelayServer : private IoHandler {
  public:
   //! Takes ownership of the listening descriptor `fd`.
@@ -34,11 +35,11 @@
   void SetLimits(const CallerLimits& limits) { limits_ = limits; }
   const CallerLimits& limits() const { return limits_; }
 
-  //! From now on the connection is closed after each answer.
+  //! From now on, each connection is closed after its next answer.
   void StartDraining() { draining_ = true; }
   bool draining() const { return draining_; }
 
-  //! Closes the listening descriptor; open connections go on.
+  //! Closes the listening descriptor; open connections stay open.
   void StopAccepting();
 
   //! Number of requests in progress.
--- a/src/transport/relay/relay_task.cpp
+++ b/src/transport/relay/relay_task.cpp
@@ -22,21 +22,22 @@
 namespace {
 
 //! A request waits for a share for at most this time, and for at most this
-//! fraction of its route's objective: a poll of the log takes about 10 ms, and
-//! a caller that is held for longer has less time for a retry.
+//! fraction of its route's objective: a poll of the budget records takes 10 ms,
+//! and a caller that is held for longer has less time for a retry.
 constexpr Millis kMaxShareWait{200};
 constexpr double kMaxShareWaitFraction = 0.15;
-//! Polls of the log after which a waiting request is refused. The first may
-//! have begun before the request arrived; the second takes it into account.
+//! Polls of the budget records after which a waiting request is refused. The
+//! first may have begun before the request arrived; the second takes it into
+//! account.
 constexpr int kMaxSharePolls = 2;
 
-//! A lost SYN is retransmitted only after seconds, so a new connection attempt
-//! is faster than waiting.
+//! The kernel retransmits a lost SYN only after 1 s, so a new connection
+//! attempt is faster than waiting.
 constexpr Millis kConnectTimeout{300};
 
 //! Longest time for which sent bytes may lack an acknowledgement from the
-//! endpoint's kernel.
-constexpr Millis kUnacknowledgedTimeout{2500};
+//! endpoint's kernel; after it the connection fails.
+constexpr Millis kAckTimeout{2500};
 
 //! Longest idle time of a connection that is reused. It is shorter for requests
 //! that may run only once, as the endpoint may be closing an older connection
@@ -52,8 +53,8 @@
 constexpr double kMaxFirstByteTimeoutFraction = 0.4;
 
 //! A request is refused if its first event is predicted after more than this
-//! fraction of the route's event timeout, since predictions can be wrong by a
-//! few tenths.
+//! fraction of the route's event timeout, since the predicted time can be wrong
+//! by a few tenths of its value.
 constexpr double kEventTimeoutFraction = 0.85;
 
 }  // namespace
@@ -157,7 +158,7 @@
       .Add("undrawn", view.unclaimed)
       .Add("log_age_ms", view.log_age)
       .Add("lost", context_->shares_can_grow() ? 0 : 1);
-  Refuse("no_share", kNoShareRetryAfter);
+  RefuseWithRetryAfter("no_share", kNoShareRetryAfter);
 }
 
 // --- Attempts --------------------------------------------------------------
@@ -179,7 +180,7 @@
     if (may_have_run_) {
       Fail(502, "Bad Gateway", "no_other_endpoint");
     } else {
-      Refuse("no_endpoint", kNoEndpointRetryAfter);
+      RefuseWithRetryAfter("no_endpoint", kNoEndpointRetryAfter);
     }
     return;
   }
@@ -189,7 +190,8 @@
   const Millis limit = std::min(
       Remaining(), route_->event_timeout.Scaled(kEventTimeoutFraction));
   if (!head_sent_ && !may_have_run_ && choice->predicted > limit) {
-    Refuse("overloaded", choice->predicted - route_->latency_objective);
+    RefuseWithRetryAfter("overloaded",
+                         choice->predicted - route_->latency_objective);
     return;
   }
   Send(*choice, *state);
@@ -220,7 +222,7 @@
   options.address = choice.address;
   options.expects_body = request_.method != "HEAD";
   options.connect_timeout = std::min(kConnectTimeout, Remaining());
-  options.unacknowledged_timeout = kUnacknowledgedTimeout;
+  options.ack_timeout = kAckTimeout;
   options.max_idle = route_->repeatable() ? kMaxIdle : kMaxIdleNonRepeatable;
   call_ = std::make_unique<EndpointCall>(context_->loop, &context_->pool,
                                          options, this);
@@ -270,10 +272,10 @@
     absl::StrAppend(&head, dialect.last_event_id, ": ",
                     splitter_.last_event_id(), "\r\n");
   }
-  const bool framed = !request_.body->empty() ||
-                      request_.fields.Count("Content-Length") > 0 ||
-                      request_.fields.Count("Transfer-Encoding") > 0;
-  if (framed) {
+  const bool needs_content_length =
+      !request_.body->empty() || request_.fields.Count("Content-Length") > 0 ||
+      request_.fields.Count("Transfer-Encoding") > 0;
+  if (needs_content_length) {
     absl::StrAppend(&head, "Content-Length: ", request_.body->size(), "\r\n");
   }
   absl::StrAppend(&head, "\r\n");
@@ -418,9 +420,10 @@
       }
       return;
     case NextStep::kRefuse:
-      Refuse("endpoint_refused", outcome == AttemptOutcome::kRefused
-                                     ? route_->latency_objective.Scaled(0.5)
-                                     : kMinRetryAfter);
+      RefuseWithRetryAfter("endpoint_refused",
+                           outcome == AttemptOutcome::kRefused
+                               ? route_->latency_objective.Scaled(0.5)
+                               : kMinRetryAfter);
       return;
     case NextStep::kBadGateway:
       Fail(502, "Bad Gateway", "endpoint_failed");
--- a/src/transport/relay/relay_task.h
+++ b/src/transport/relay/relay_task.h
@@ -33,7 +33,7 @@
 struct RoutedService;
 
 //! Takes one request through admission, budget, placement and its attempts, and
-//! relays the answer. `coordination` decides on the next step; this class does
+//! relays the answer. attempt_rules.h decides on the next step; this class does
 //! the input and output. Not thread-safe.
 class RelayTask : public RequestTask, public EndpointCall::Observer {
  public:
@@ -46,7 +46,8 @@
   void Start() override;
   void OnCallerDrained() override;
 
-  //! Called after a poll of the log: the organisation's share may have grown.
+  //! Called after a poll of the budget records: the organisation's share may
+  //! have grown.
   void OnSharesChanged();
 
   //! Sort key among waiting requests: priority, then arrival.
@@ -71,6 +72,8 @@
   // Attempts.
   void Attempt();
   void Send(const Placement::Choice& choice, const EndpointState& state);
+  //! Returns the head of the request to the endpoint. Ranks above 9 are sent as
+  //! 9, the lowest priority; see CallDialect::priority.
   std::string RequestHead(const Placement::Choice& choice) const;
   void StartFirstByteTimer(Millis predicted);
   void OnFirstByteTimeout();
@@ -90,8 +93,8 @@
   void DeliverBuffered();
   void EndStream();
 
-  // Own answers.
-  void Refuse(const char* reason, Millis retry_after);
+  // Answers of this instance.
+  void RefuseWithRetryAfter(const char* reason, Millis retry_after);
   void Fail(int status, const char* text, const char* reason);
   void AbortAnswer(const char* reason);
   void OnDeadline();
@@ -118,21 +121,22 @@
 
   int64_t reserved_ = 0;
   bool waiting_for_share_ = false;
-  int share_polls_ = 0;  //!< Polls of the log while the request waited.
+  int share_polls_ = 0;  //!< Polls of the budget records during the wait.
 
   std::unique_ptr<EndpointCall> call_;
   std::optional<EndpointTicket> ticket_;
   std::set<uint64_t> tried_endpoints_;
-  int sends_ = 0;
-  int connection_attempts_ = 0;
+  int sends_ = 0;  //!< Attempts whose bytes may have reached an endpoint.
+  int connection_attempts_ = 0;  //!< All, also on reused connections.
   bool may_have_run_ = false;
 
   AttemptOutcome answer_outcome_ = AttemptOutcome::kAnswered;
-  AnswerHead answer_;
+  AnswerHead answer_head_;
   std::string buffered_;
   bool head_sent_ = false;
-  bool delivered_ = false;  //!< A 2xx answer was sent from the buffer.
-  bool raw_ = false;        //!< The answer is not an event stream.
+  //! A 2xx answer was sent from the buffer.
+  bool sent_buffered_success_ = false;
+  bool not_event_stream_ = false;  //!< By the Content-Type of the answer.
   SseSplitter splitter_;
   Millis first_event_at_;
   Millis last_event_at_;
--- a/src/transport/relay/relay_task_admission.cpp
+++ b/src/transport/relay/relay_task_admission.cpp
@@ -18,7 +18,7 @@
   request_id_ = std::string(
       request_.fields.Find(dialect.request_id).value_or(std::string_view()));
   if (config_ == nullptr) {
-    Refuse("no_configuration", kNoConfigRetryAfter);
+    RefuseWithRetryAfter("no_configuration", kNoConfigRetryAfter);
     return false;
   }
   if (request_id_.empty() || request_.fields.Count(dialect.request_id) != 1) {
@@ -37,14 +37,14 @@
     return false;
   }
   if (context_->exit_deadline > Millis(0) && !CanFinishBeforeExit()) {
-    Refuse("draining", kMinRetryAfter);
+    RefuseWithRetryAfter("draining", kMinRetryAfter);
     return false;
   }
   Millis allowed = route_->timeout;
-  int64_t deadline = 0;
+  int64_t timeout_ms = 0;
   const auto text = request_.fields.Find(dialect.deadline);
-  if (text && absl::SimpleAtoi(AsAbsl(*text), &deadline) && deadline > 0) {
-    allowed = std::min(allowed, Millis(deadline));
+  if (text && absl::SimpleAtoi(AsAbsl(*text), &timeout_ms) && timeout_ms > 0) {
+    allowed = std::min(allowed, Millis(timeout_ms));
   }
   deadline_ = request_.first_byte_at + allowed - kDeadlineMargin;
   return AdmitToService();
@@ -69,7 +69,9 @@
         config_->FindOrganisationByKey(std::string(field->substr(7)));
   }
   if (organisation_ != nullptr) {
-    // The organisation's priority precedes the route's priority.
+    // The organisation's priority precedes the route's priority. Route
+    // priorities above 2 count as 2, so that they don't reach the next rank of
+    // organisations.
     constexpr int kRouteRanks = 3;
     rank_ = organisation_->priority * kRouteRanks +
             std::min(route_->priority, kRouteRanks - 1);
@@ -91,7 +93,7 @@
     }
   }
   if (service_ == nullptr) {
-    Refuse("no_service", kNoEndpointRetryAfter);
+    RefuseWithRetryAfter("no_service", kNoEndpointRetryAfter);
     return false;
   }
   context_->RetryBudgetFor(service_->name).OnRequest();
@@ -104,7 +106,7 @@
       StableHash(absl::StrCat(request_.method, " ", request_.target, " ",
                               organisation_ ? organisation_->name : "")));
   if (context_->crashes.IsBlocked(content_hash_)) {
-    Refuse("crashes_endpoints", kMaxRetryAfter);
+    RefuseWithRetryAfter("crashes_endpoints", kMaxRetryAfter);
     return false;
   }
   return true;
--- a/src/transport/relay/relay_task_answers.cpp
+++ b/src/transport/relay/relay_task_answers.cpp
@@ -24,8 +24,9 @@
 //! truncated one can be replaced by the answer of another attempt.
 constexpr size_t kMaxBufferedAnswerBytes = 1024 * 1024;
 
-//! Callers honour a Retry-After of up to a third of their time. The fraction is
-//! smaller, as some of that time has passed when the answer arrives.
+//! Callers honour a Retry-After of up to a third of the time that remains until
+//! their deadline. The fraction is smaller, as part of that time has passed
+//! when the answer arrives.
 constexpr double kRetryAfterFraction = 0.3;
 
 }  // namespace
@@ -68,18 +69,19 @@
   if (head_sent_) {
     return true;
   }
-  answer_ = {};
-  answer_.status = answer.status();
-  answer_.reason = answer.reason();
-  answer_.close_connection = context_->congestion.active();
+  answer_head_ = {};
+  answer_head_.status = answer.status();
+  answer_head_.reason = answer.reason();
+  answer_head_.close_connection = context_->congestion.active();
   for (const HttpField& it : answer.fields().all()) {
     if (!IsHopByHopField(it.name) &&
         !EqualsIgnoringCase(it.name, "Content-Length")) {
-      answer_.fields.Add(it.name, it.value);
+      answer_head_.fields.Add(it.name, it.value);
     }
   }
   const auto type = answer.fields().Find("Content-Type");
-  raw_ = !type || type->find("event-stream") == std::string_view::npos;
+  not_event_stream_ =
+      !type || type->find("event-stream") == std::string_view::npos;
   return true;
 }
 
@@ -89,7 +91,7 @@
 }
 
 void RelayTask::OnAnswerBody(std::string* body) {
-  if (IsStreamAnswer() && !raw_) {
+  if (IsStreamAnswer() && !not_event_stream_) {
     const std::string bytes = std::move(*body);
     body->clear();
     ForwardEvents(splitter_.Feed(bytes));
@@ -102,11 +104,11 @@
     buffered_.clear();
   } else if (buffered_.size() > kMaxBufferedAnswerBytes) {
     head_sent_ = true;
-    connection_->BeginAnswer(answer_);
+    connection_->BeginAnswer(answer_head_);
     connection_->WriteBody(buffered_);
     buffered_.clear();
   }
-  if (call_ && connection_->congested()) {
+  if (call_ && connection_->output_is_full()) {
     call_->PauseReading(true);
   }
 }
@@ -119,13 +121,13 @@
   if (!head_sent_) {
     head_sent_ = true;
     first_event_at_ = now;
-    connection_->BeginAnswer(answer_);
+    connection_->BeginAnswer(answer_head_);
   } else {
     longest_event_gap_ = std::max(longest_event_gap_, now - last_event_at_);
   }
   last_event_at_ = now;
   connection_->WriteBody(bytes);
-  if (call_ && connection_->congested()) {
+  if (call_ && connection_->output_is_full()) {
     call_->PauseReading(true);
   }
 }
@@ -138,7 +140,7 @@
 
 void RelayTask::OnAnswerDone() {
   if (head_sent_ && answer_outcome_ != AttemptOutcome::kAnswered) {
-    // The endpoint that was asked to resume the stream did not.
+    // The endpoint did not resume the stream.
     FinishAttempt(answer_outcome_, "the stream was not resumed");
     return;
   }
@@ -152,25 +154,25 @@
 
 void RelayTask::DeliverBuffered() {
   finished_ = true;
-  delivered_ = answer_.status / 100 == 2;
+  sent_buffered_success_ = answer_head_.status / 100 == 2;
   buffered_ += splitter_.TakeIncompleteEvent();
   context_->loop->Cancel(&deadline_timer_);
-  LogEnd(answer_.status, "delivered", "");
-  connection_->Answer(answer_, buffered_);
+  LogEnd(answer_head_.status, "delivered", "");
+  connection_->Answer(answer_head_, buffered_);
 }
 
 void RelayTask::EndStream() {
   finished_ = true;
   context_->loop->Cancel(&deadline_timer_);
   connection_->WriteBody(splitter_.TakeIncompleteEvent());
-  LogEnd(answer_.status, "delivered", "");
+  LogEnd(answer_head_.status, "delivered", "");
   connection_->EndAnswer();
 }
 
 // --- Answers of this instance ----------------------------------------------
 
 Millis RelayTask::RetryAfter(Millis base_delay) const {
-  // Jitter spreads the retries, so that they don't arrive in one wave.
+  // Jitter spreads the retries, so that they don't all arrive at the same time.
   const Millis jittered =
       base_delay.Scaled(0.75 + 0.5 * context_->RandomFraction());
   const Millis max_delay = route_ == nullptr
@@ -180,7 +182,7 @@
                                        max_delay, kMaxRetryAfter}));
 }
 
-void RelayTask::Refuse(const char* reason, Millis retry_after) {
+void RelayTask::RefuseWithRetryAfter(const char* reason, Millis retry_after) {
   CHECK(!may_have_run_) << "event=refused_after_run id=" << request_id_;
   finished_ = true;
   call_.reset();
@@ -241,7 +243,7 @@
       AbortAnswer("time_up");
       return;
     case NextStep::kRefuse:
-      Refuse("time_up", kMinRetryAfter);
+      RefuseWithRetryAfter("time_up", kMinRetryAfter);
       return;
     default:
       Fail(504, "Gateway Timeout", "time_up");
@@ -255,12 +257,12 @@
   if (reserved_ == 0) {
     return;
   }
-  // Tokens are charged once an answer reaches the caller; a run whose answer
-  // did not reach the caller is not charged.
+  // A run is charged once its answer, or a part of it, was written to the
+  // caller's connection; other runs are not charged.
   int64_t spent = 0;
-  if (head_sent_ || delivered_) {
+  if (head_sent_ || sent_buffered_success_) {
     const int64_t output =
-        service_->tokens_per_event > 0 && !raw_
+        service_->tokens_per_event > 0 && !not_event_stream_
             ? std::min(prompt_->max_output_tokens,
                        splitter_.event_count() * service_->tokens_per_event)
             : prompt_->max_output_tokens;
--- a/src/transport/socket_address.cpp
+++ b/src/transport/socket_address.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 //! Connections that may wait for accept(). A burst of new callers must not
-//! overflow the queue, since a dropped SYN is retransmitted only after seconds.
+//! overflow the queue, since a dropped SYN is retransmitted only after 1 s.
 constexpr int kListenBacklog = 1024;
 
 absl::StatusOr<int> OpenBoundSocket(const std::string& address, int type) {
--- a/src/transport/tcp_stream.cpp
+++ b/src/transport/tcp_stream.cpp
@@ -17,11 +17,12 @@
 
 namespace {
 
-//! Most bytes of one `Read`; large bodies take several.
+//! Largest number of bytes that one `Read` returns; longer input takes several
+//! calls.
 constexpr size_t kReadBytes = 64 * 1024;
 
-//! An empty output buffer above this size is freed, since memory is scarce on
-//! small instances and a connection is idle most of the time.
+//! An empty output buffer with a larger capacity is freed, since memory is
+//! scarce on small instances and a connection is idle most of the time.
 constexpr size_t kMaxIdleBufferBytes = 16 * 1024;
 
 }  // namespace
--- a/src/transport/tcp_stream.h
+++ b/src/transport/tcp_stream.h
@@ -65,7 +65,7 @@
   //! Hands the stream over to another observer. Precondition: not null.
   void SetObserver(Observer* observer) { observer_ = observer; }
 
-  //! Appends the bytes that are available to `buf`, at most `limit`.
+  //! Reads at most `limit` of the available bytes and appends them to `buf`.
   ReadResult Read(std::string* buf, size_t limit);
 
   //! Buffers bytes; `Flush` sends them.
@@ -77,7 +77,7 @@
   //! Pauses or resumes reading, for back-pressure.
   void PauseReading(bool pause);
 
-  //! Closes the sending side (FIN). Precondition: nothing is pending.
+  //! Closes the sending side (FIN). Precondition: `pending_bytes()` is 0.
   void ShutDownWriting();
 
   //! Makes the close send a reset, so that the peer cannot mistake the bytes it
--- a/tests/transport/relay_units_test.cpp
+++ b/tests/transport/relay_units_test.cpp
@@ -51,6 +51,8 @@
   EXPECT_GT(log.dropped(), 0U);
   std::string all;
   std::vector<char> buf(65536);
+  // Alternates reads and flushes until the log's whole buffer has passed
+  // through the pipe.
   for (int i = 0; i < 1000; ++i) {
     const ssize_t n = read(fds[0], buf.data(), buf.size());
     if (n > 0) {
@@ -103,7 +105,7 @@
     const auto [fd, address] = ListenOnFreePort();
     fd_ = fd;
     address_ = address;
-    loop_->Watch(fd_, 1, this);
+    loop_->Watch(fd_, 1, this);  // EPOLLIN
   }
   ~RawServer() override {
     loop_->Unwatch(fd_);
@@ -113,7 +115,7 @@
   void OnReady(uint32_t) override {
     if (peer_ < 0) {
       peer_ = accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK);
-      loop_->Watch(peer_, 1, this);
+      loop_->Watch(peer_, 1, this);  // EPOLLIN
       return;
     }
     std::vector<char> buf(4096);
@@ -146,7 +148,7 @@
 
 class EndpointCallTest : public testing::TestWithParam<RawAnswer> {};
 
-TEST_P(EndpointCallTest, OnlyOwnCompleteAnswerSucceeds) {
+TEST_P(EndpointCallTest, OnlyCompleteAnswerToThisRequestSucceeds) {
   EventLoop loop;
   ConnectionPool pool(&loop, [](uint64_t) {});
   RawServer server(&loop, GetParam().bytes);
@@ -155,7 +157,7 @@
   options.endpoint = 1;
   options.address = server.address();
   options.connect_timeout = Millis(1000);
-  options.unacknowledged_timeout = Millis(1000);
+  options.ack_timeout = Millis(1000);
   options.max_idle = Millis(1000);
   EndpointCall call(&loop, &pool, options, &observer);
   call.Start("GET / HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -203,7 +205,7 @@
   EndpointCall::Options options;
   options.address = FreeAddress();
   options.connect_timeout = Millis(1000);
-  options.unacknowledged_timeout = Millis(1000);
+  options.ack_timeout = Millis(1000);
   EndpointCall call(&loop, &pool, options, &observer);
   call.Start("GET / HTTP/1.1\r\n\r\n", nullptr);
   loop.Run();
