--- a/tests/cli/request_trace_test.cpp
+++ b/tests/cli/request_trace_test.cpp
@@ -17,7 +17,7 @@
       "time_ms=7 event=endpoint endpoint=e2 draining=0\n"
       "time_ms=9 event=send id=other endpoint=e2\n"
       "prefix time_ms=10 event=send id=wanted endpoint=e1\n"
-      "not a line of ours id=wanted\n"
+      "line without a time id=wanted\n"
       "time_ms=20 event=request_end id=wanted status=502 organisation=cedar\n"
       "time_ms=30 event=config version=5\n");
   RequestTrace trace("wanted");
--- a/tests/platform/decoder_test.cpp
+++ b/tests/platform/decoder_test.cpp
@@ -35,6 +35,8 @@
   ASSERT_NE(route, nullptr);
   EXPECT_EQ(route->name, "r1");
   EXPECT_EQ(route->weighted_services.size(), 2U);
+  // Four times the objective of 800 ms, which is more than eight times the gap
+  // of 300 ms and than 2 s.
   EXPECT_EQ(route->event_timeout, Millis(3200));
   EXPECT_FALSE(route->repeatable());
   EXPECT_EQ((*config)->FindRoute("h.example", "/a/b/c")->name, "r2");
@@ -62,7 +64,7 @@
 
 class EndpointDecoderTest : public testing::TestWithParam<EntryCase> {};
 
-TEST_P(EndpointDecoderTest, AcceptsOnlyCompleteEntries) {
+TEST_P(EndpointDecoderTest, AcceptsOnlyValidEntries) {
   EXPECT_EQ(DecodeEndpoint("i", GetParam().text).ok(), GetParam().ok);
 }
 
@@ -90,7 +92,7 @@
                   R"({"service":"s","address":"nowhere","zone":"z","slots":64,
                       "state":"ready","sequence":4,"born":9})",
                   false},
-        EntryCase{"text_as_number",
+        EntryCase{"number_as_text",
                   R"({"service":"s","address":"10.0.0.1:80","zone":"z",
                       "slots":"64","state":"ready","sequence":4,"born":9})",
                   false},
@@ -104,6 +106,7 @@
 
 TEST(StoreRecordTest, EncodedRecordsDecodeToTheSameRecords) {
   const std::string bytes = EncodeRecords({{"k", "v"}, {"gone", ""}});
+  // end_offset 0 and first_offset 2, 8 bytes each.
   const auto batch = DecodeBatch(std::string(15, '\0') + '\2' + bytes);
   ASSERT_TRUE(batch.ok());
   EXPECT_EQ(batch->first_offset, 2);
--- a/tests/platform/front_test.cpp
+++ b/tests/platform/front_test.cpp
@@ -126,8 +126,8 @@
 
   static void Stop() { raise(SIGTERM); }
 
-  //! Tokens that the newest claim locks and that are not spent; 0 until a claim
-  //! reports spent tokens.
+  //! Unspent tokens that the newest claim locks; 0 while the newest claim
+  //! reports no spent tokens, that is, before the first charge is in the store.
   int64_t LockedShare() const {
     const auto claim = DecodeBudgetClaim(
         "node-1/cedar", store_.Newest(platform::kBudgetTopic, "node-1/cedar"));
@@ -379,7 +379,7 @@
   EXPECT_EQ(b_.started_requests().size(), 10U);
 }
 
-TEST_F(FrontTest, ReusedAddressRunsNoRequestOfItsFormerEndpoint) {
+TEST_F(FrontTest, EndpointOnReusedAddressDoesNotRunRequestsForItsPredecessor) {
   // The directory still has an entry for "a" with the address on which "b" now
   // listens.
   json stale = json::parse(b_.DirectoryEntry("app", 5, false));
@@ -447,7 +447,8 @@
     };
     (*poll)();
   };
-  // Larger than any share that is held without demand.
+  // 30,000 prompt tokens instead of 1,000: larger than any share that is held
+  // without demand.
   const std::string large = absl::StrReplaceAll(SampleRequest("report", "id-1"),
                                                 {{"1000,100", "30000,100"}});
   std::function<void()> send_again = [&] {
@@ -474,7 +475,8 @@
 TEST_F(FrontTest, ClaimsSharesWhenStoreAnswersAreDelayed) {
   UseAsEngines();
   Caller* caller = nullptr;
-  // Larger than any share that is held without demand.
+  // 30,000 prompt tokens instead of 1,000: larger than any share that is held
+  // without demand.
   const std::string large = absl::StrReplaceAll(SampleRequest("report", "id-1"),
                                                 {{"1000,100", "30000,100"}});
   std::function<void()> send_again = [&] {
@@ -488,6 +490,8 @@
     });
   };
   Run([&] {
+    // Longer than the client's default timeout of 1.2 s; it lasts for longer
+    // than the 10 s within which the request has to succeed.
     store_.faults().delay = Millis(1500);
     loop_.After(Millis(12000), [&] { store_.faults().delay = Millis(0); });
     WhenReady([&] {
@@ -518,6 +522,7 @@
   const auto claim = DecodeBudgetClaim(
       "node-1/cedar", store_.Newest(platform::kBudgetTopic, "node-1/cedar"));
   ASSERT_TRUE(claim);
+  // 1,000 prompt tokens and five events of five tokens for each run.
   EXPECT_EQ(claim->spent, 1025 * (a_.RunCount("id-1") + b_.RunCount("id-1") +
                                   a_.RunCount("id-2") + b_.RunCount("id-2")));
   EXPECT_EQ(claim->claimed, claim->spent);
@@ -542,8 +547,8 @@
   UseAsEngines();
   settings_.grace_period = Millis(1500);
   for (StandInEndpoint* it : {&a_, &b_}) {
-    // The stream takes about 1.1 s, longer than the 0.9 s that remain of the
-    // grace period before the reserve for the exit.
+    // 110 events at intervals of 10 ms take longer than the 0.9 s that remain
+    // of the grace period before the reserve for the exit.
     it->behaviour().events = 110;
     it->behaviour().event_interval = Millis(10);
   }
@@ -557,6 +562,7 @@
             Stop();
           });
   });
+  // The open stream has 1,000 prompt tokens and at most 100 output tokens.
   EXPECT_GT(claimed_before, 1100);
   EXPECT_EQ(ClaimedShare(), 1100);
 }
