--- a/src/coordination/budget_shares.cpp
+++ b/src/coordination/budget_shares.cpp
@@ -10,38 +10,40 @@
 
 namespace {
 
-//! A share covers the demand of this time: instances are cut off from the
-//! platform for up to 9 s at a time.
+//! Time for which a share covers the demand, s. It is longer than the 9 s for
+//! which an instance may be cut off from the platform.
 constexpr double kCoverSeconds = 12;
-//! Standard deviations of that demand that a share covers in addition. An
-//! instance receives few requests of an organisation, fewer the more instances
-//! there are, and their sizes differ widely, so that the mean alone is a poor
-//! estimate.
+//! A share also covers this many standard deviations of that demand. Each
+//! instance receives few requests of an organisation, in a large fleet even
+//! fewer, and their sizes differ widely, so the mean alone is a poor estimate.
 constexpr double kCoverDeviations = 1.5;
 
 //! Replaces kCoverSeconds once the process is about to exit: the load balancer
-//! needs 2 s to notice, and keep-alive connections are told to close meanwhile.
+//! needs 2 s to notice, and callers are notified to close keep-alive
+//! connections meanwhile.
 constexpr double kDrainCoverSeconds = 2;
 
-//! Largest fraction of its fair share of the remaining budget that an instance
-//! holds, while much and while little of the budget remains. A power loss of
-//! all instances strands what they hold, and an organisation near the end of
-//! its budget must not lose all of the remainder by it.
-constexpr double kHighBudgetFairFraction = 0.6;
-constexpr double kLowBudgetFairFraction = 0.1;
+//! Upper limits of an instance's share, as fractions of its fair share: the
+//! part of the remaining budget that corresponds to its part of the spending so
+//! far. The first applies while much of the budget remains, the second while
+//! little remains. A power loss of all instances strands all shares, and an
+//! organisation near the end of its budget must not lose all of the remainder.
+constexpr double kMaxFairFractionAtHighBudget = 0.6;
+constexpr double kMaxFairFractionAtLowBudget = 0.1;
 //! Remaining fractions of the budget at and above which the first limit
 //! applies, and at and below which the second does. Interpolated linearly in
 //! between.
-constexpr double kHighBudgetFraction = 0.6;
-constexpr double kLowBudgetFraction = 0.25;
+constexpr double kHighBudgetThreshold = 0.6;
+constexpr double kLowBudgetThreshold = 0.25;
 
 //! Fraction of the remaining budget that all instances together hold without
 //! demand, so that the first requests of an organisation need not wait for the
 //! log.
 constexpr double kIdleFraction = 0.02;
 
-//! Weight, as a fraction of the budget, of the prior assumption that all
-//! instances spend equally, relative to what they have spent so far.
+//! When fair shares are computed, each instance counts as having spent its
+//! equal part of this fraction of the budget in addition to what it has spent,
+//! so that an instance without spending has a fair share too.
 constexpr double kUniformPriorFraction = 0.03;
 
 //! A share is refilled below this fraction of its target, and its surplus is
@@ -58,28 +60,31 @@
 constexpr double kMinReturnFraction = 1;
 constexpr double kMinReturnFractionWhenOverclaimed = 0.2;
 
-//! A refused request that still waits tries to reserve again well within this
-//! time.
+//! A refused reservation counts as waiting for this time. A request that still
+//! waits tries to reserve again well before its end.
 constexpr Millis kRefusalLifetime{300};
 
 //! For this time after the log was read up to its end, the known state counts
 //! as recent.
 constexpr Millis kMaxSyncAge{1500};
 
-//! How long a share lock holds: a killed process is restarted within 2 s, and
-//! its newest lock is up to 0.5 s old by then.
+//! How long a share lock holds. A killed process is restarted within 2 s, and
+//! its newest lock may have been up to one lock interval old when it was killed
+//! (0.5 s, or 1 s in a large fleet).
 constexpr Millis kLockDuration{3000};
 //! Interval between share locks of a small and of a large fleet. It is longer
 //! in a large fleet since every instance reads the records of all.
 constexpr Millis kLockInterval{500};
 constexpr Millis kLargeFleetLockInterval{1000};
+//! A fleet with more instances than this is large.
 constexpr int kLargeFleetInstances = 16;
 
-//! Counterparts of kCoverSeconds and kCoverDeviations for what may be spent
-//! during a lock, which also covers one request of typical size.
+//! What may be spent while a lock holds covers the demand of this time, s, this
+//! many standard deviations of it, and one request of typical size.
 constexpr double kLockCoverSeconds = 3.5;
 constexpr double kLockCoverDeviations = 0.5;
-//! A lock's limit is kept as it is between these multiples of its target.
+//! The limit of a lock is changed if its unused part is below the first or
+//! above the second of these multiples of LockTarget.
 constexpr double kRelockBelow = 0.5;
 constexpr double kRelockAbove = 2;
 
@@ -89,7 +94,7 @@
 constexpr double kMeanSizeWeight = 0.02;
 
 //! Estimates of the demand assume that at least this time has passed since the
-//! first reservation.
+//! first reservation: the rate is divided by a term that is near zero at first.
 constexpr double kMinDemandSeconds = 0.7;
 //! Time constant of the recent rate, and the shortest time over which the mean
 //! rate of all reservations is taken.
@@ -142,8 +147,8 @@
 }
 
 void BudgetShares::UpdateBase(Account* account) {
-  // These records come only from predecessors of the same name, which are
-  // already fenced.
+  // Records of the predecessor are applied only when it is fenced and appends
+  // no more. If it ended while its newest lock held, it spent at most `locked`.
   const bool lock_held =
       predecessor_lock_ &&
       predecessor_lock_->incarnation == account->predecessor.incarnation &&
@@ -168,21 +173,22 @@
     if (listing_) {
       listed_own_[claim.organisation] = claim;
     } else {
-      Decide(account, claim);
+      DecideGrant(account, claim);
     }
   }
   CHECK_GE(account->granted, account->in_use())
       << "event=share_overspent organisation=" << claim.organisation;
 }
 
-void BudgetShares::Decide(Account* account, const BudgetClaim& claim) {
+void BudgetShares::DecideGrant(Account* account, const BudgetClaim& claim) {
   const int64_t own_claimed = claim.claimed - account->base_claimed;
-  const int64_t room =
+  const int64_t max_own_claim =
       account->prepaid
           ? *account->prepaid - account->others_claimed - account->base_claimed
           : 0;
   account->logged_claim = own_claimed;
-  account->granted = std::max(account->granted, std::min(own_claimed, room));
+  account->granted =
+      std::max(account->granted, std::min(own_claimed, max_own_claim));
   account->raise_undecided = false;
 }
 
@@ -197,7 +203,7 @@
   listing_ = false;
   for (const auto& [name, claim] : listed_own_) {
     if (listing_decides_) {
-      Decide(&accounts_.at(name), claim);
+      DecideGrant(&accounts_.at(name), claim);
     }
   }
 }
@@ -290,7 +296,8 @@
   if (account.first_reservation_at == Millis(0)) {
     return 0;
   }
-  // A smoothed rate that began at zero is too low at first.
+  // The smoothed rate began at zero and is too low at first; the divisor
+  // corrects it for the time since the first reservation.
   const double age = std::max(
       kMinDemandSeconds,
       static_cast<double>((now - account.first_reservation_at).count()) / 1000);
@@ -345,14 +352,15 @@
                       : std::max(DemandWithMargin(now, account, kCoverSeconds,
                                                   kCoverDeviations),
                                  remaining * kIdleFraction / instances_);
+  // 0 at or below the low threshold, 1 at or above the high one.
   const double budget_level =
-      std::clamp((remaining / std::max(1.0, prepaid) - kLowBudgetFraction) /
-                     (kHighBudgetFraction - kLowBudgetFraction),
+      std::clamp((remaining / std::max(1.0, prepaid) - kLowBudgetThreshold) /
+                     (kHighBudgetThreshold - kLowBudgetThreshold),
                  0.0, 1.0);
-  wanted =
-      std::min(wanted, fair_share * (kLowBudgetFairFraction +
-                                     budget_level * (kHighBudgetFairFraction -
-                                                     kLowBudgetFairFraction)));
+  wanted = std::min(
+      wanted, fair_share * (kMaxFairFractionAtLowBudget +
+                            budget_level * (kMaxFairFractionAtHighBudget -
+                                            kMaxFairFractionAtLowBudget)));
   if (wanted < account.typical_size) {
     // Not enough for one request: the remaining budget is claimed request by
     // request.
@@ -406,17 +414,19 @@
     claimed = std::max(account->logged_claim, in_use + target);
   } else if ((held > return_above && held - wanted > MinReturn(*account)) ||
              account->logged_claim > account->granted) {
-    // The surplus must not be spent from now on, before the lowered claim is
-    // appended.
+    // Also withdraws the part of a claim that was not granted. The surplus is
+    // given up before the append: once the lowered claim is on the log, other
+    // instances may claim the returned tokens.
     account->granted = std::min(account->granted, in_use + target);
     claimed = std::min(account->logged_claim, account->granted);
   }
   const int64_t lock_target = LockTarget(now, *account);
-  const auto unlocked = static_cast<double>(account->locked_limit - in_use);
+  const auto spendable_in_lock =
+      static_cast<double>(account->locked_limit - in_use);
   int64_t locked = account->locked_limit;
-  if (unlocked < static_cast<double>(lock_target) * kRelockBelow ||
-      unlocked > static_cast<double>(lock_target) * kRelockAbove ||
-      unlocked < static_cast<double>(account->largest_refused)) {
+  if (spendable_in_lock < static_cast<double>(lock_target) * kRelockBelow ||
+      spendable_in_lock > static_cast<double>(lock_target) * kRelockAbove ||
+      spendable_in_lock < static_cast<double>(account->largest_refused)) {
     locked = in_use + lock_target;
   }
   // The tokens in use may exceed the limit of an expired lock.
--- a/src/coordination/budget_shares.h
+++ b/src/coordination/budget_shares.h
@@ -58,7 +58,7 @@
   explicit BudgetShares(Identity self);
 
   //! Records that at `now` (time since boot) no predecessor of this name runs
-  //! any more. Precondition: no record was applied.
+  //! any more. Precondition: called before the first record is applied.
   void SetPredecessorGoneAt(Millis now) { predecessor_gone_at_ = now; }
 
   //! Applies the budgets of a new configuration. Where a total was lowered, the
@@ -78,11 +78,12 @@
   void Apply(const BudgetClaim& claim);
   void Apply(const ShareLock& lock);
 
-  //! Mark the begin and end of a listing. In between, `Apply` gets the newest
-  //! record of each key, ordered by key instead of log position. An own raise
-  //! is decided at the end, and only if it was appended before the listing
-  //! began: otherwise the listed claims of other instances may be older than
-  //! the raise. After a failed listing, call BeginListing again.
+  //! Mark the start and the end of a listing. In between, `Apply` gets the
+  //! newest record of each key, ordered by key instead of log position. How
+  //! much of this instance's own raised claim is granted is decided at the end,
+  //! and only if it was appended before the listing began: otherwise the listed
+  //! claims of other instances may be older than the raise. After a failed
+  //! listing, call BeginListing again.
   void BeginListing();
   void EndListing();
 
@@ -130,7 +131,7 @@
 
  private:
   struct Account {
-    std::optional<int64_t> prepaid;
+    std::optional<int64_t> prepaid;  //!< Budget, tokens; nullopt: no limit.
     //! Newest claims of the other instances, by name.
     std::map<std::string, BudgetClaim> others;
     int64_t others_claimed = 0;
@@ -155,10 +156,11 @@
     int64_t spent = 0;
     int64_t reserved = 0;
     int64_t largest_refused = 0;  //!< Of the recently refused reservations.
-    Millis refused_at;            //!< Time of the last refusal.
+    Millis refused_at;            //!< Time of the last refusal; 0 for none.
     double typical_size = 0;      //!< Smoothed size of reservations.
-    Millis first_reservation_at;
-    double total_reserved = 0;  //!< Sum of all reservations so far.
+    Millis first_reservation_at;  //!< 0 for none.
+    double total_reserved = 0;    //!< Sum of all reservations so far.
+    //! Its time constant has to be kDemandTimeConstantSeconds.
     RateMeter demand{Millis(5000)};
 
     int64_t in_use() const { return spent + reserved; }
@@ -184,12 +186,12 @@
   double RemainingBudget(const Account& account) const;
   //! Unused tokens that the share should hold.
   int64_t ShareTarget(Millis now, const Account& account) const;
-  //! Unused tokens that may be spent while a lock holds.
+  //! Unused tokens that the next lock should allow to spend.
   int64_t LockTarget(Millis now, const Account& account) const;
   //! Smallest surplus that is worth a record.
   double MinReturn(const Account& account) const;
   void ApplyOwn(Account* account, const BudgetClaim& claim);
-  static void Decide(Account* account, const BudgetClaim& claim);
+  static void DecideGrant(Account* account, const BudgetClaim& claim);
   //! Recomputes the base from the claim and the lock of the predecessor.
   void UpdateBase(Account* account);
   std::optional<BudgetClaim> PlanAccount(Millis now,
@@ -205,14 +207,16 @@
   Identity self_;
   int instances_ = 1;
   bool draining_ = false;
-  Millis predecessor_gone_at_{-1};
+  Millis predecessor_gone_at_{-1};  //!< -1 if unknown.
   //! Smoothed moments of the reservation sizes of all organisations.
   double mean_size_ = 0;
   double mean_square_ = 0;
   bool batch_pending_ = false;
   bool listing_ = false;
-  bool listing_decides_ = false;  //!< No batch was pending at its start.
+  //! No batch was pending when the listing began.
+  bool listing_decides_ = false;
   std::map<std::string, BudgetClaim> listed_own_;  //!< By organisation.
+  //! When the log was last read up to its end; -1 for never.
   Millis synced_at_{-1};
   std::optional<ShareLock> predecessor_lock_;
   Millis lock_at_;          //!< Time of the newest appended lock; 0 for none.
--- a/src/coordination/claim_batch.h
+++ b/src/coordination/claim_batch.h
@@ -13,7 +13,8 @@
 struct ClaimBatch {
   std::optional<ShareLock> lock;
   std::vector<BudgetClaim> claims;
-  //! Some claim is raised; its position in the log decides what is granted.
+  //! Whether a claim is raised: how much of it is granted depends on the
+  //! position of its record in the log.
   bool has_raise = false;
 
   bool empty() const { return !lock && claims.empty(); }
--- a/src/coordination/link_congestion.cpp
+++ b/src/coordination/link_congestion.cpp
@@ -9,8 +9,8 @@
 constexpr double kMinUnconnectedPerSecond = 10;
 constexpr double kMinUnconnectedRatio = 0.5;
 
-//! Hysteresis: below this rate of unconnected attempts the link is no longer
-//! congested.
+//! Below this rate of unconnected attempts the link is no longer congested. Far
+//! below kMinUnconnectedPerSecond, as hysteresis.
 constexpr double kClearUnconnectedPerSecond = 1;
 
 //! Minimum duration of the state. The load balancer needs two failed checks,
--- a/src/coordination/link_congestion.h
+++ b/src/coordination/link_congestion.h
@@ -12,15 +12,15 @@
 //!
 //! This happens when a few callers overload one instance behind a narrow link
 //! while the other instances are idle. Requests, answers and reads of the log
-//! then wait in the same queue. Not thread-safe.
+//! then wait in the queue of the link. Not thread-safe.
 class LinkCongestion {
  public:
   //! An attempt at an endpoint ended. `unconnected`: it ended before it was
   //! connected.
   void OnAttempt(Millis now, bool unconnected);
 
-  //! Updates `active`; called at least once per second. Precondition: `now`
-  //! does not run backwards.
+  //! Updates `active`; to be called at least once per second.
+  //! Precondition: `now` is not before that of an earlier call.
   void OnTick(Millis now);
 
   //! Whether the link is congested. Stays true for at least 3 s, and until
@@ -32,7 +32,7 @@
 
   RateMeter unconnected_{kTimeConstant};
   RateMeter attempts_{kTimeConstant};
-  Millis active_since_;  //!< When `active_` became true.
+  Millis active_since_;  //!< Time of the last tick with `active_` false.
   bool active_ = false;
 };
 
--- a/src/state/organisation.h
+++ b/src/state/organisation.h
@@ -11,7 +11,7 @@
 //! One organisation of a configuration.
 struct Organisation {
   std::string name;
-  std::vector<std::string> keys;
+  std::vector<std::string> keys;   //!< API keys.
   int priority = 0;                //!< 0 is the most urgent.
   std::optional<int64_t> prepaid;  //!< Tokens; nullopt if not limited.
 
--- a/src/state/routed_service.h
+++ b/src/state/routed_service.h
@@ -10,14 +10,15 @@
 //! endpoints share.
 struct RoutedService {
   std::string name;
-  int connection_limit = 0;     //!< Per endpoint, over all callers.
+  int connection_limit = 0;     //!< Connections per endpoint from all callers.
   bool has_engines = false;     //!< Its endpoints are model engines.
   int slots = 0;                //!< Concurrent requests per engine.
   int64_t kv_cache_tokens = 0;  //!< Capacity of an engine's KV cache.
   //! Tokens per event of a stream; 0 if the service does not specify it.
   int tokens_per_event = 0;
   int64_t kv_token_bytes = 0;  //!< KV cache bytes per token.
-  double link_mbps = 0;        //!< Between engines, for KV cache transfers.
+  //! Bandwidth between two engines for KV cache transfers, Mbit/s.
+  double link_mbps = 0;
 
   friend bool operator==(const RoutedService&, const RoutedService&) = default;
 };
--- a/src/state/share_lock.h
+++ b/src/state/share_lock.h
@@ -9,17 +9,17 @@
 
 namespace tamaracktrail {
 
-//! A record that locks an instance's shares: for a fixed time from `at`, the
+//! A record that locks an instance's shares: for 3 s from `at`, the
 //! instance spends at most BudgetClaim::locked of each of its claims.
 //!
 //! A process that replaces the instance within that time, on the same boot of
-//! the same machine, therefore has an upper bound of what was spent. `at` is
+//! the same machine, therefore knows that no more than that was spent. `at` is
 //! time since boot and not comparable between machines or boots.
 struct ShareLock {
   std::string instance;
   uint64_t incarnation = 0;
   std::string boot;  //!< Boot ID of the machine.
-  Millis at;
+  Millis at;         //!< Start of the lock, as time since boot.
 
   friend bool operator==(const ShareLock&, const ShareLock&) = default;
 };
--- a/tests/coordination/budget_shares_test.cpp
+++ b/tests/coordination/budget_shares_test.cpp
@@ -358,8 +358,8 @@
   Holder holder(&topic, "a", 1, Millis(1000), "boot");
   holder.shares().SetBudgets(Prepaid(100000000));
   holder.shares().SetInstances(80);
-  // One request every 12 s: a typical rate of one organisation at one of many
-  // instances.
+  // One request every 12 s, as long as a share covers: a typical rate of one
+  // organisation at one of many instances.
   Millis now(1000);
   for (int i = 0; i < 4; ++i) {
     holder.shares().Reserve(now, kName, 20000);
--- a/tests/coordination/link_congestion_test.cpp
+++ b/tests/coordination/link_congestion_test.cpp
@@ -12,20 +12,21 @@
                 int seconds,
                 Millis gap,
                 double unconnected_ratio) {
-  double pending = 0;
+  double unconnected_due = 0;
   for (const Millis end = now + Millis(seconds * 1000); now < end;
        now = now + gap) {
-    pending += unconnected_ratio;
-    const bool unconnected = pending >= 1;
-    pending -= unconnected ? 1 : 0;
+    unconnected_due += unconnected_ratio;
+    const bool unconnected = unconnected_due >= 1;
+    unconnected_due -= unconnected ? 1 : 0;
     congestion->OnAttempt(now, unconnected);
     congestion->OnTick(now);
   }
   return now;
 }
 
-// Seen at one of 73 instances, which received a fifth of all requests over a
-// link of 10 Mbit/s: 290 of 400 attempts per second took too long to connect.
+// Load pattern: one of 73 instances receives a fifth of all requests over a
+// link of 10 Mbit/s, and 290 of its 400 attempts per second take too long to
+// connect.
 TEST(LinkCongestionTest, MostAttemptsUnconnectedSetsCongestionUntilTheyStop) {
   LinkCongestion congestion;
   Millis now = Simulate(&congestion, Millis(1000), 5, Millis(5), 0);
--- a/tests/coordination/share_outage_test.cpp
+++ b/tests/coordination/share_outage_test.cpp
@@ -33,8 +33,8 @@
   EXPECT_FALSE(outage.active());
   now = RunRequests(&outage, now, 2, 0.7, true);
   EXPECT_TRUE(outage.active());
-  // Without further requests nothing is known of the shares, so the outage
-  // continues.
+  // The rate of refusals decays without requests, which must not end the
+  // outage: nothing is known of the shares.
   outage.OnTick(now + Millis(5000), true);
   EXPECT_TRUE(outage.active());
   outage.OnTick(now + Millis(5100), false);
