--- a/src/coordination/attempt_outcome.h
+++ b/src/coordination/attempt_outcome.h
@@ -8,7 +8,7 @@
   kAnswered,     //!< The complete answer arrived.
   kNotSent,      //!< No connection: no byte of the request was sent.
   kRefused,      //!< The endpoint reports that it did not run the request.
-  kMisdirected,  //!< Another endpoint has the address; it did not run it.
+  kMisdirected,  //!< Another endpoint has the address; the request did not run.
   kFailed,       //!< The endpoint answered with an error; the request ran.
   kBroken,       //!< Connection lost or protocol violated; it may have run.
   kTimedOut,     //!< No answer began within the timeout; it may have run.
--- a/src/coordination/attempt_rules.cpp
+++ b/src/coordination/attempt_rules.cpp
@@ -6,12 +6,13 @@
 
 namespace {
 
-//! With less time than this another attempt cannot succeed, and an endpoint
-//! would work for a caller that disconnects.
+//! Least remaining time for another attempt. With less, the caller disconnects
+//! before the answer, and the endpoint's work is wasted.
 constexpr Millis kMinAttemptTime{30};
 
-//! Limit of connection attempts for one request. Those that reach no endpoint
-//! cost only time, which `remaining` limits as well.
+//! Limit of connection attempts for one request. Attempts that reach no
+//! endpoint cost only time, which RequestProgress::remaining limits as well;
+//! they don't count against max_attempts.
 constexpr int kMaxConnectionAttempts = 6;
 
 bool CertainlyNotRun(AttemptOutcome outcome) {
--- a/src/coordination/attempt_rules.h
+++ b/src/coordination/attempt_rules.h
@@ -12,8 +12,8 @@
 NextStep StepAfterAttempt(const RequestProgress& progress,
                           AttemptOutcome outcome);
 
-//! Decides the next step when the request times out while an attempt is open,
-//! or while the request waits (`attempt_open` false). Thread-safe.
+//! Decides the next step when the request times out. `attempt_open`: an attempt
+//! is open; otherwise the request waits for one. Thread-safe.
 NextStep StepAtTimeout(const RequestProgress& progress, bool attempt_open);
 
 }  // namespace tamaracktrail
--- a/src/coordination/content_guard.h
+++ b/src/coordination/content_guard.h
@@ -20,8 +20,9 @@
 //! run again. Not thread-safe.
 class ContentGuard {
  public:
-  //! `readback_timeout` is the time limit for reading an appended trial back
-  //! from the log. Precondition: `fold` outlives the guard.
+  //! `self` is the incarnation of this process. `readback_timeout` is the
+  //! time limit for reading an appended trial back from the log.
+  //! Precondition: `fold` outlives the guard.
   ContentGuard(uint64_t self, Millis readback_timeout, const ControlFold* fold)
       : self_(self), readback_timeout_(readback_timeout), fold_(fold) {}
 
@@ -59,7 +60,7 @@
   struct Pending {
     std::string content;
     Millis deadline;
-    bool trial_appended = false;  //!< The trial was handed over for appending.
+    bool trial_appended = false;  //!< The trial was put into the outbox.
   };
 
   void Decide(Millis now, uint64_t attempt, Outbox& outbox);
--- a/src/coordination/crash_guard.cpp
+++ b/src/coordination/crash_guard.cpp
@@ -14,7 +14,8 @@
 //! one less leaves room for crashes that other instances see at the same time.
 constexpr size_t kMaxCrashes = 2;
 
-//! Crashing content is sent again within minutes or not at all.
+//! Crashes of a content are remembered for this time after its last one.
+//! Callers repeat crashing content within minutes or not at all.
 constexpr Millis kContentRetention{10 * 60 * 1000};
 
 //! Limit of contents that are remembered.
--- a/src/coordination/crash_guard.h
+++ b/src/coordination/crash_guard.h
@@ -17,7 +17,8 @@
 //! A lost connection alone is not evidence of a crash: answers are lost for
 //! many reasons. It counts as a crash if the endpoint is found to be down
 //! within 600 ms, or if connections of requests with other content break in
-//! that time. Not thread-safe.
+//! that time. Works on this instance's observations and on peers' reports,
+//! without the log; ContentGuard decides by trials on the log. Not thread-safe.
 class CrashGuard {
  public:
   //! A crash: hash of the content and hash of the endpoint's incarnation.
--- a/src/coordination/request_progress.h
+++ b/src/coordination/request_progress.h
@@ -10,16 +10,15 @@
 struct RequestProgress {
   CallKind kind = CallKind::kUnsafe;
   bool resumable = false;  //!< Whether a stream can be resumed.
-  int max_attempts = 1;    //!< Limit of endpoints that may receive the request.
+  int max_attempts = 1;    //!< Limit of `sends`.
   int sends = 0;           //!< Endpoints that have or may have received it.
-  int connection_attempts =
-      0;  //!< Attempts, including those that reached no endpoint.
-  bool may_have_run = false;  //!< In any of its attempts.
-  bool head_sent = false;     //!< The caller was sent the head of an answer.
-  bool event_sent = false;    //!< The caller was sent an event of the stream.
+  int connection_attempts = 0;  //!< Including those that reached no endpoint.
+  bool may_have_run = false;    //!< In at least one of its attempts.
+  bool head_sent = false;       //!< The caller was sent the head of an answer.
+  bool event_sent = false;      //!< The caller was sent an event of the stream.
   bool caller_gone = false;
-  bool retry_allowed = false;      //!< By the fleet's retry budget.
-  bool crashes_endpoints = false;  //!< Content that has crashed endpoints.
+  bool retry_allowed = false;      //!< The fleet's retry budget allows a retry.
+  bool crashes_endpoints = false;  //!< Its content has crashed an endpoint.
   bool has_untried_endpoint =
       false;         //!< There is a usable endpoint not tried yet.
   Millis remaining;  //!< Until the caller's or the route's deadline.
@@ -33,8 +32,10 @@
   kRefuse,      //!< 503: the request has not run and will not run.
   kBadGateway,  //!< 502: it may have run.
   kTimeOut,     //!< 504: it may have run.
-  kAbort,       //!< Close the connection, so that the answer is seen as cut.
-  kDrop,        //!< The caller has disconnected; send nothing.
+  //! Close the caller's connection, so that the answer is recognised as
+  //! incomplete.
+  kAbort,
+  kDrop,  //!< The caller has disconnected; send nothing.
 };
 
 }  // namespace tamaracktrail
--- a/src/coordination/retry_budget.h
+++ b/src/coordination/retry_budget.h
@@ -11,32 +11,32 @@
  public:
   //! Each request adds `ratio` retries; at most `burst` are accumulated.
   RetryBudget(double ratio, double burst)
-      : ratio_(ratio), burst_(burst), tokens_(burst) {}
+      : ratio_(ratio), burst_(burst), retries_(burst) {}
 
-  void OnRequest() { tokens_ = std::min(burst_, tokens_ + ratio_); }
+  void OnRequest() { retries_ = std::min(burst_, retries_ + ratio_); }
 
   //! Sets the limit of accumulated retries.
   void SetBurst(double burst) {
     burst_ = burst;
-    tokens_ = std::min(tokens_, burst_);
+    retries_ = std::min(retries_, burst_);
   }
 
   //! Whether `TakeRetry` would succeed.
-  bool HasRetry() const { return tokens_ >= 1; }
+  bool HasRetry() const { return retries_ >= 1; }
 
   //! Takes one retry; returns false if none is available.
   bool TakeRetry() {
-    if (tokens_ < 1) {
+    if (retries_ < 1) {
       return false;
     }
-    tokens_ -= 1;
+    retries_ -= 1;
     return true;
   }
 
  private:
   double ratio_;
   double burst_;
-  double tokens_;
+  double retries_;
 };
 
 }  // namespace tamaracktrail
--- a/tests/coordination/attempt_rules_test.cpp
+++ b/tests/coordination/attempt_rules_test.cpp
@@ -24,7 +24,7 @@
   return progress;
 }
 
-RequestProgress Ran(RequestProgress progress) {
+RequestProgress MayHaveRun(RequestProgress progress) {
   progress.may_have_run = true;
   return progress;
 }
@@ -43,20 +43,21 @@
 TEST(AttemptRulesTest, RequestThatMayHaveRunIsSentAgainOnlyIfRepeatable) {
   for (const AttemptOutcome outcome :
        {AttemptOutcome::kBroken, AttemptOutcome::kTimedOut}) {
-    EXPECT_NE(StepAfterAttempt(Ran(Start(CallKind::kUnsafe)), outcome),
+    EXPECT_NE(StepAfterAttempt(MayHaveRun(Start(CallKind::kUnsafe)), outcome),
               NextStep::kTryAnother);
-    EXPECT_NE(StepAfterAttempt(Ran(Start(CallKind::kStream)), outcome),
+    EXPECT_NE(StepAfterAttempt(MayHaveRun(Start(CallKind::kStream)), outcome),
               NextStep::kTryAnother);
-    EXPECT_EQ(StepAfterAttempt(Ran(Start(CallKind::kSafe)), outcome),
-              NextStep::kTryAnother);
-    EXPECT_EQ(StepAfterAttempt(Ran(Start(CallKind::kStream, true)), outcome),
+    EXPECT_EQ(StepAfterAttempt(MayHaveRun(Start(CallKind::kSafe)), outcome),
               NextStep::kTryAnother);
+    EXPECT_EQ(
+        StepAfterAttempt(MayHaveRun(Start(CallKind::kStream, true)), outcome),
+        NextStep::kTryAnother);
   }
 }
 
 // "Not run" must be true of all attempts of the request, not only the last one.
 TEST(AttemptRulesTest, NotRunIsNotReportedAfterAnAttemptThatMayHaveRun) {
-  RequestProgress progress = Ran(Start(CallKind::kSafe));
+  RequestProgress progress = MayHaveRun(Start(CallKind::kSafe));
   progress.sends = 2;
   for (const AttemptOutcome outcome :
        {AttemptOutcome::kNotSent, AttemptOutcome::kRefused,
@@ -99,16 +100,16 @@
 }
 
 TEST(AttemptRulesTest, ErrorAnswerIsDeliveredIfTheRequestIsNotRepeatable) {
-  EXPECT_EQ(
-      StepAfterAttempt(Ran(Start(CallKind::kUnsafe)), AttemptOutcome::kFailed),
-      NextStep::kDeliver);
-  EXPECT_EQ(
-      StepAfterAttempt(Ran(Start(CallKind::kSafe)), AttemptOutcome::kFailed),
-      NextStep::kTryAnother);
+  EXPECT_EQ(StepAfterAttempt(MayHaveRun(Start(CallKind::kUnsafe)),
+                             AttemptOutcome::kFailed),
+            NextStep::kDeliver);
+  EXPECT_EQ(StepAfterAttempt(MayHaveRun(Start(CallKind::kSafe)),
+                             AttemptOutcome::kFailed),
+            NextStep::kTryAnother);
 }
 
 TEST(AttemptRulesTest, StartedStreamIsResumedOnlyIfResumableElseAborted) {
-  RequestProgress progress = Ran(Start(CallKind::kStream, true));
+  RequestProgress progress = MayHaveRun(Start(CallKind::kStream, true));
   progress.head_sent = true;
   progress.event_sent = true;
   EXPECT_EQ(StepAfterAttempt(progress, AttemptOutcome::kBroken),
@@ -120,7 +121,7 @@
 }
 
 TEST(AttemptRulesTest, ContentThatCrashesEndpointsIsNotSentAgain) {
-  RequestProgress progress = Ran(Start(CallKind::kSafe));
+  RequestProgress progress = MayHaveRun(Start(CallKind::kSafe));
   progress.crashes_endpoints = true;
   EXPECT_EQ(StepAfterAttempt(progress, AttemptOutcome::kBroken),
             NextStep::kBadGateway);
@@ -134,7 +135,7 @@
   EXPECT_EQ(StepAtTimeout(progress, false), NextStep::kDrop);
 }
 
-TEST(AttemptRulesTest, TimeoutIsRefusedOnlyIfNoAttemptIsOpen) {
+TEST(AttemptRulesTest, RequestIsRefusedAtTheTimeoutOnlyIfNoAttemptIsOpen) {
   EXPECT_EQ(StepAtTimeout(Start(CallKind::kUnsafe), true), NextStep::kTimeOut);
   EXPECT_EQ(StepAtTimeout(Start(CallKind::kUnsafe), false), NextStep::kRefuse);
 }
