--- a/src/cli/audit.h
+++ b/src/cli/audit.h
@@ -19,8 +19,9 @@
   uint64_t streams = 0;
   uint64_t batches = 0;
   uint64_t records = 0;
-  uint64_t repeated_batches = 0;  //!< Repeated appends, as after a lost answer.
-  uint64_t void_charges = 0;      //!< Charges of keys that were billed already.
+  //! Appends that a writer repeated, for example after a lost answer.
+  uint64_t repeated_batches = 0;
+  uint64_t void_charges = 0;  //!< Charges of keys that were billed already.
   std::vector<std::string> faults;  //!< One line each; empty if consistent.
   std::map<std::string, Budget> budgets;  //!< By organisation.
 };
--- a/src/cli/commands.cpp
+++ b/src/cli/commands.cpp
@@ -97,13 +97,14 @@
     if (!text.ok()) {
       faults.push_back({path, "", "", std::string(text.status().message()),
                         "a readable file"});
+      // Only settings files have a section [instance].
     } else if (text->find("[instance]") != std::string::npos) {
       Settings::Parse(path, *text, &faults);
     } else {
       declarations.push_back({path, *text});
     }
   }
-  ParseCatalog(0, declarations, &faults);
+  ParseCatalog(/*version=*/0, declarations, &faults);
   PrintFaults(faults);
   if (!faults.empty()) {
     return ExitCode::kBadInput;
@@ -281,7 +282,7 @@
   const std::optional<Settings> settings = ReadSettings();
   const std::string folder = absl::GetFlag(FLAGS_folder);
   if (!settings.has_value() || folder.empty()) {
-    std::cerr << "--settings and --folder are required\n";
+    std::cerr << "a valid --settings FILE and --folder FOLDER are required\n";
     return ExitCode::kBadInput;
   }
   if (arguments[0] == "export" && arguments.size() == 1) {
@@ -303,7 +304,8 @@
   if (!settings.has_value() ||
       !absl::SimpleHexAtoi(arguments[0], &incarnation)) {
     std::cerr
-        << "INCARNATION must be a hexadecimal number as printed by status\n";
+        << "a valid --settings FILE is required, and INCARNATION must be a "
+           "hexadecimal number as printed by status\n";
     return ExitCode::kBadInput;
   }
   const std::string author = absl::GetFlag(FLAGS_author);
@@ -349,13 +351,13 @@
   return ExitCode::kOk;
 }
 
+//! For commands that take a list of files or folders.
 constexpr size_t kMaxArguments = 1000;
 
 constexpr Command kCommands[] = {
     {"serve", "serve --settings FILE",
-     "Runs an entry instance until SIGTERM or SIGINT, then shuts down "
-     "gracefully.",
-     0, 0, RunServe},
+     "Runs an instance until SIGTERM or SIGINT, then shuts down gracefully.", 0,
+     0, RunServe},
     {"check", "check FILE...",
      "Checks settings and declarations without starting an instance.", 1,
      kMaxArguments, RunCheck},
--- a/src/cli/instance.cpp
+++ b/src/cli/instance.cpp
@@ -51,8 +51,8 @@
 Instance::~Instance() = default;
 
 absl::Status Instance::Start() {
-  // The entry starts first because the coordination sends it notices as soon as
-  // it runs.
+  // The entry task starts first because the coordination task sends notices to
+  // it from its start.
   absl::Status status = parts_->entry.Start(&parts_->coordination);
   if (!status.ok()) {
     return status;
@@ -74,13 +74,13 @@
   while (parts_->entry.OpenCalls() > 0 && MonotonicNow() < deadline) {
     std::this_thread::sleep_for(kPollInterval);
   }
-  const size_t aborted_calls = parts_->entry.OpenCalls();
+  const size_t aborted_requests = parts_->entry.OpenCalls();
   const bool exited = parts_->coordination.DrainAndRecordExit(deadline);
   parts_->entry.Stop();
   parts_->coordination.Stop();
-  LOG(INFO) << "event=shutdown_ended cut=" << aborted_calls
+  LOG(INFO) << "event=shutdown_ended cut=" << aborted_requests
             << " left=" << exited;
-  if (aborted_calls > 0 || !exited) {
+  if (aborted_requests > 0 || !exited) {
     return absl::DeadlineExceededError("the shutdown exceeded its deadline");
   }
   return absl::OkStatus();
--- a/src/cli/instance.h
+++ b/src/cli/instance.h
@@ -12,8 +12,8 @@
 class Metrics;
 class Settings;
 
-//! A running instance: its tasks and how they call each other. Use from one
-//! thread.
+//! An instance: owns its entry task and its coordination task and connects
+//! them. Use from one thread.
 class Instance {
  public:
   explicit Instance(const Settings& settings);
--- a/src/cli/log_session.cpp
+++ b/src/cli/log_session.cpp
@@ -52,6 +52,7 @@
 }
 
 uint64_t LogSession::NewWriter() {
+  // Sets the lowest bit, so that the id is never 0.
   std::random_device device;
   return (uint64_t{device()} << 32 | device()) | 1;
 }
--- a/src/cli/log_session.h
+++ b/src/cli/log_session.h
@@ -25,7 +25,7 @@
 class LogSession {
  public:
   //! Offset of an appended record and the verdict of the fold on it.
-  struct AppendResult {
+  struct ReadBackResult {
     uint64_t offset = 0;
     FoldVerdict verdict = FoldVerdict::kNotApplicable;
   };
@@ -72,10 +72,10 @@
   //! `deadline` passes. Errors: kDeadlineExceeded; the record may or may not be
   //! in the stream then.
   template <FoldModel Fold>
-  absl::StatusOr<AppendResult> AppendAndReadBack(const std::string& stream,
-                                                 StreamView<Fold>& view,
-                                                 Record record,
-                                                 Millis deadline) {
+  absl::StatusOr<ReadBackResult> AppendAndReadBack(const std::string& stream,
+                                                   StreamView<Fold>& view,
+                                                   Record record,
+                                                   Millis deadline) {
     const uint64_t writer = NewWriter();
     LogWriter log_writer(writer, &codec_, LogWriter::Options{});
     log_writer.Add(std::move(record));
@@ -92,7 +92,7 @@
       for (const LogEntry& entry : page->entries) {
         for (const AppliedBatch& it : view.Feed(entry)) {
           if (it.batch.writer == writer) {
-            return AppendResult{it.offset, it.verdicts.front()};
+            return ReadBackResult{it.offset, it.verdicts.front()};
           }
         }
       }
@@ -102,6 +102,7 @@
   }
 
  private:
+  //! Longest wait of one read for new entries.
   static constexpr Millis kReadBackWait{200};
 
   static uint64_t NewWriter();
--- a/src/cli/publication.cpp
+++ b/src/cli/publication.cpp
@@ -47,7 +47,7 @@
       out.files.push_back({absl::StrCat(name, "/", it.path), it.text});
     }
   }
-  ParseCatalog(0, out.files, faults);
+  ParseCatalog(/*version=*/0, out.files, faults);
   out.id = id.empty() ? DerivedId(base, out.files) : id;
   return out;
 }
--- a/src/cli/run.cpp
+++ b/src/cli/run.cpp
@@ -33,7 +33,8 @@
   return nullptr;
 }
 
-//! Logs go to stderr, one line per event. glog's own flags are not used.
+//! Logs go to stderr, one line per event. glog's flags are set here and can't
+//! be given on the command line.
 void SetUpLogging(const char* program) {
   FLAGS_logtostderr = true;
   FLAGS_log_prefix = false;
--- a/src/cli/settings.cpp
+++ b/src/cli/settings.cpp
@@ -27,8 +27,9 @@
   return (scheme == "http" || scheme == "https") && !text.ends_with("/");
 }
 
-//! Null if `text` is valid for the kind, else a description of valid values.
-const char* AllowedIfInvalid(SettingDef::Kind kind, const std::string& text) {
+//! Returns nullptr if `text` is valid for `kind`, else a description of the
+//! valid values.
+const char* ExplainIfInvalid(SettingDef::Kind kind, const std::string& text) {
   switch (kind) {
     case SettingDef::Kind::kAddress:
       return IsAddress(text) ? nullptr : "IP:port with a numeric IP";
@@ -87,7 +88,7 @@
     if (!value.has_value()) {
       continue;
     }
-    if (const char* allowed = AllowedIfInvalid(def.kind, *value)) {
+    if (const char* allowed = ExplainIfInvalid(def.kind, *value)) {
       reader.AddFault(def.section, def.key, *value, allowed);
     }
     out.texts_[name] = *value;
@@ -178,7 +179,8 @@
   limits.slow_reader_timeout = Duration("limits", "slow_reader_ms");
   limits.idle_timeout = Duration("limits", "endpoint_idle_ms");
   limits.retry_ratio = Number("limits", "retry_ratio");
-  // An entry waits 2.5 s longer than its keeper may take to answer.
+  // An entry waits 2.5 s longer for the keeper's reply than the keeper waits
+  // for tokens.
   constexpr Millis kReplyMargin{2500};
   limits.reserve_timeout = Duration("budget", "reserve_wait_ms") + kReplyMargin;
   return out;
--- a/src/protocol/frame_codec.h
+++ b/src/protocol/frame_codec.h
@@ -20,6 +20,8 @@
 class FrameCodec {
  public:
   static constexpr size_t kHeaderBytes = 42;
+  //! Longest body that is sent or accepted. Encode() stops the process above
+  //! it.
   static constexpr size_t kMaxBodyBytes = 4 * 1024 * 1024;
 
   //! Precondition: `key` is the fleet's shared key and not empty.
--- a/src/protocol/model_call.cpp
+++ b/src/protocol/model_call.cpp
@@ -10,8 +10,9 @@
 
 using nlohmann::json;
 
+//! Largest size of ModelCall::prefix.
 constexpr size_t kPrefixBytes = 1024;
-//! Upper bound of the tokens that a chat template adds.
+//! Assumed maximum of the tokens that a chat template adds to a prompt in all.
 constexpr int64_t kMaxTemplateTokens = 64;
 
 std::string ContentText(const json& content) {
--- a/src/protocol/model_call.h
+++ b/src/protocol/model_call.h
@@ -11,10 +11,11 @@
 //! The parts of a caller's model request that routing needs. Immutable.
 struct ModelCall {
   std::string model;
-  std::string body;     //!< For the endpoint; always asks for a stream.
-  std::string prefix;   //!< Prefix of the prompt, for cache affinity.
-  bool chat = true;     //!< /v1/chat/completions, else /v1/completions.
-  bool stream = false;  //!< Whether the caller asked for a stream.
+  std::string body;    //!< Body for the endpoint; its "stream" is always true.
+  std::string prefix;  //!< Prefix of the prompt, for cache affinity.
+  //! Whether the path is /v1/chat/completions; otherwise it is /v1/completions.
+  bool chat = true;
+  bool stream = false;            //!< Whether the caller asked for a stream.
   int64_t max_prompt_tokens = 0;  //!< Upper bound of the prompt tokens.
   int64_t max_tokens = 0;
 };
--- a/src/protocol/orphan_query.h
+++ b/src/protocol/orphan_query.h
@@ -5,9 +5,11 @@
 
 namespace tamaracktrail {
 
-//! Asks a peer which reservations under an exited holder it still has open.
+//! Asks a peer what it still accounts for after an instance's exit: open
+//! reservations and unconfirmed charges under its shares (orphans), and charges
+//! of its requests that are in the peer's custody.
 struct OrphanQuery {
-  uint64_t holder = 0;
+  uint64_t holder = 0;  //!< Incarnation that has exited.
 
   friend bool operator==(const OrphanQuery&, const OrphanQuery&) = default;
 
--- a/src/protocol/orphan_report.h
+++ b/src/protocol/orphan_report.h
@@ -15,6 +15,8 @@
 struct OrphanReport {
   uint64_t holder = 0;
   uint64_t reporter = 0;
+  //! Tokens under the holder's shares that the reporter still accounts for: its
+  //! open reservations and the unconfirmed charges in its custody.
   std::vector<KeptShare> kept;
   //! Charges in the reporter's custody whose entry is the exited instance.
   std::vector<SettleRequest> charges;
--- a/src/protocol/reservation_query.h
+++ b/src/protocol/reservation_query.h
@@ -8,7 +8,8 @@
 
 namespace tamaracktrail {
 
-//! Asks an entry which of its reservations have ended without a charge.
+//! Asks an entry which of these reservations have ended without a charge. It
+//! answers with a ReservationEnd for each of them.
 struct ReservationQuery {
   std::vector<uint64_t> attempts;
 
--- a/src/protocol/reserve_request.h
+++ b/src/protocol/reserve_request.h
@@ -8,14 +8,16 @@
 
 namespace tamaracktrail {
 
-//! Asks a keeper to reserve a request's worst case in tokens and, for a
-//! non-repeatable request, to record its run claim.
+//! Asks a keeper, which manages its instance's shares of the budget, to reserve
+//! a request's worst case in tokens and, for a non-repeatable request, to
+//! record its run claim.
 struct ReserveRequest {
   std::string organisation;
   std::string key;
   std::string service;
   //! Identifies the reservation.
   uint64_t attempt = 0;
+  //! Incarnation of the instance that serves the caller.
   uint64_t entry = 0;
   int64_t tokens = 0;
   //! Whether the request is non-repeatable.
--- a/src/protocol/result_code.h
+++ b/src/protocol/result_code.h
@@ -7,6 +7,11 @@
 
 //! Numeric results of requests, listed in docs/RESULT_CODES.md. Numbers are
 //! never reused.
+//!
+//! 1xxx: the request ran; 2xxx: the request itself is refused; 3xxx: budget;
+//! 4xxx: load, time limits and the caller's connection; 5xxx: state of the
+//! instance, the log, the keeper or the request key; 6xxx: endpoints,
+//! and content that crashes them.
 enum class ResultCode : int32_t {
   kOk = 1000,
   kAlreadyBilled = 1001,
--- a/src/protocol/run_state.h
+++ b/src/protocol/run_state.h
@@ -5,7 +5,8 @@
 
 //! Whether a request has run, as reported to its caller.
 enum class RunState {
-  kNotRun,          //!< No byte of the call can have reached an endpoint.
+  //! No endpoint ran it: none was reached, or each that was reached refused it.
+  kNotRun,
   kRan,             //!< It ran.
   kOutcomeUnknown,  //!< It may have run.
 };
--- a/src/protocol/setting_fault.h
+++ b/src/protocol/setting_fault.h
@@ -10,7 +10,9 @@
   std::string file;
   std::string section;
   std::string key;
-  std::string read;     //!< Value found in the file.
+  //! Value found in the file, an unknown key, or the reason why the file can't
+  //! be read.
+  std::string read;
   std::string allowed;  //!< Description of the valid values.
 
   friend bool operator==(const SettingFault&, const SettingFault&) = default;
--- a/src/protocol/sse_parser.h
+++ b/src/protocol/sse_parser.h
@@ -14,14 +14,15 @@
   friend bool operator==(const SseEvent&, const SseEvent&) = default;
 };
 
-//! Splits a byte stream into server-sent events. Not thread-safe.
+//! Parses a byte stream into the ids and data of its server-sent events.
+//! SseSplitter keeps the events' bytes instead. Not thread-safe.
 class SseParser {
  public:
   //! Appends `bytes` and returns the events that they complete.
   std::vector<SseEvent> Feed(const std::string& bytes);
 
   //! Number of buffered bytes of an incomplete event.
-  size_t pending() const { return buffer_.size(); }
+  size_t pending_bytes() const { return buffer_.size(); }
 
  private:
   std::string buffer_;
--- a/src/protocol/sse_splitter.h
+++ b/src/protocol/sse_splitter.h
@@ -12,8 +12,8 @@
 class SseSplitter {
  public:
   //! Adds bytes and returns the complete events that the caller has not
-  //! received yet: events whose id is not above `last_id`, which a resumed
-  //! stream may repeat, are dropped.
+  //! received yet: events whose id is not above last_event_id(), which a
+  //! resumed stream may repeat, are dropped.
   std::string Feed(std::string_view bytes);
 
   //! The stream continues from another source: discards an incomplete event.
--- a/src/state/batch.h
+++ b/src/state/batch.h
@@ -12,12 +12,16 @@
 
 //! Unit of append: records of one writer on one stream.
 //!
-//! The pair (writer, sequence) identifies a repeated append, and `previous`
-//! links each batch to the writer's preceding one in a hash chain.
+//! The pair (writer, sequence) identifies a repeated append, and
+//! `previous_digest` links each batch to the writer's preceding one in a hash
+//! chain.
 struct Batch {
-  uint64_t writer = 0;    //!< Incarnation of the writer.
+  //! Incarnation of the instance that appends the batch, or a random id for a
+  //! command.
+  uint64_t writer = 0;
   uint64_t sequence = 0;  //!< Starts at 1, without gaps.
-  //! Digest of the preceding batch; empty for the first.
+  //! SHA-256 of the encoded payload of the writer's preceding batch; empty for
+  //! the first.
   std::string previous_digest;
   Millis wall;  //!< Wall-clock time of the writer; advances the fold clock.
   std::vector<Record> records;
--- a/src/state/caller_limits.h
+++ b/src/state/caller_limits.h
@@ -11,7 +11,11 @@
 struct CallerLimits {
   uint32_t max_header_bytes = 16 * 1024;
   uint64_t max_body_bytes = 4 * 1024 * 1024;
+  //! Longest wait for the end of a request's headers after its first byte; then
+  //! HTTP 408.
   Millis header_timeout{3000};
+  //! Longest wait for a request, or for the rest of one whose headers are
+  //! complete, before the connection is closed.
   Millis idle_timeout{15000};
 
   friend bool operator==(const CallerLimits&, const CallerLimits&) = default;
--- a/src/state/config_file.h
+++ b/src/state/config_file.h
@@ -9,7 +9,7 @@
 
 //! A declaration file of a configuration.
 struct ConfigFile {
-  //! Path relative to the published folder.
+  //! Path that starts with the name of the published folder.
   std::string path;
   std::string text;
 
--- a/src/state/control_fold.h
+++ b/src/state/control_fold.h
@@ -40,6 +40,7 @@
   };
 
   struct TermState {
+    //! Incarnation of the placer (not a holder of a share).
     uint64_t holder = 0;
     uint64_t fencing_number = 0;  //!< Offset of the Term record.
     Millis started_at;            //!< Fold time.
@@ -67,7 +68,8 @@
   //! Incarnations of a data centre that have joined and not exited.
   std::vector<uint64_t> LiveIncarnations(const std::string& data_centre) const;
 
-  //! Number of recorded endpoint crashes during runs of this content.
+  //! Number of distinct runs of this content that crashed an endpoint. A trial
+  //! that succeeds resets it to 0, and so does Trim() after kCrashWindow.
   size_t CrashCount(const std::string& content) const;
 
   //! Attempt that holds the trial of this content, which allows one more run
@@ -76,12 +78,14 @@
 
   std::optional<TermState> TermOf(const std::string& data_centre) const;
 
-  //! Drops contents with no crash or trial within kCrashWindow.
+  //! Drops contents with no crash or trial within kCrashWindow of fold time.
+  //! Until then CrashCount() and TrialOf() still report them.
   void Trim();
 
   template <class Archive>
   void serialize(Archive& archive);
 
+  //! Time after a content's last crash or trial for which Trim() keeps it.
   static constexpr Millis kCrashWindow = kHour * 24;
 
  private:
--- a/src/state/endpoint_entry.h
+++ b/src/state/endpoint_entry.h
@@ -8,7 +8,7 @@
 
 namespace tamaracktrail {
 
-//! What an endpoint reports about itself in the directory.
+//! What an endpoint reports about itself in the platform's endpoint directory.
 struct EndpointEntry {
   std::string id;
   std::string service;
@@ -18,7 +18,7 @@
   int64_t sequence = 0;       //!< Increases with each entry of an incarnation.
   int slots = 0;              //!< Requests that it runs concurrently.
   bool draining = false;
-  //! Remaining time for which it is slow after its start.
+  //! Remaining time of the slow period after its start; 0 if it has ended.
   Millis cold_remaining;
 
   friend bool operator==(const EndpointEntry&, const EndpointEntry&) = default;
--- a/src/state/exit.h
+++ b/src/state/exit.h
@@ -11,7 +11,7 @@
 //! States that an incarnation has exited, with the evidence for it.
 struct Exit {
   uint64_t incarnation = 0;
-  std::string evidence;
+  std::string evidence;  //!< Text for the audit; not parsed.
 
   friend bool operator==(const Exit&, const Exit&) = default;
 
--- a/src/state/fence.h
+++ b/src/state/fence.h
@@ -5,12 +5,12 @@
 
 namespace tamaracktrail {
 
-//! Fences an exited entry under a holder's share: from this offset on, only
-//! charges that the holder itself appends count for the entry's requests.
-//! Pending appends of other writers become void.
+//! Makes charges of an exited entry's requests void unless the holder of the
+//! charged share appends them itself. Applies to charges after this record, so
+//! that pending appends of other writers have no effect.
 struct Fence {
   uint64_t holder = 0;
-  uint64_t entry = 0;
+  uint64_t entry = 0;  //!< Incarnation of the exited entry.
 
   friend bool operator==(const Fence&, const Fence&) = default;
 
--- a/src/state/fold_clock.h
+++ b/src/state/fold_clock.h
@@ -9,14 +9,16 @@
 //! that all readers agree on it.
 //!
 //! It starts at the time of the first batch and never runs backwards. After
-//! that, a writer with a wrong clock advances it by at most kMaxStep per batch.
+//! that, each call of Advance() moves it by at most kMaxStep, which limits the
+//! effect of a writer with a wrong clock.
 class FoldClock {
  public:
+  //! Largest advance per call of Advance().
   static constexpr Millis kMaxStep = kMinute;
 
   Millis now() const { return now_; }
 
-  //! Applies the wall-clock time of the next batch.
+  //! Applies the wall-clock time of a batch. The folds call it once per record.
   void Advance(Millis wall);
 
   friend bool operator==(const FoldClock&, const FoldClock&) = default;
--- a/src/state/fold_verdict.h
+++ b/src/state/fold_verdict.h
@@ -6,12 +6,19 @@
 //! Result of applying one record to a fold.
 enum class FoldVerdict {
   kAccepted,
-  kRepeat,         //!< Same id or key as an earlier record: no effect.
-  kExceedsShare,   //!< A charge or return above the holder's share, or a load
-                   //!< order above the fleet's rate: void.
-  kHolderExited,   //!< The holder was released or the entry fenced: void.
-  kLostRace,       //!< Overtaken by a conflicting record (claim, abandon,
-                   //!< trial, base, term, draw or void): void.
+  //! Already applied, or nothing to apply it to: no effect now. A second charge
+  //! of a key is kept as a fallback; an abandon voids a later claim of its
+  //! attempt.
+  kRepeat,
+  kExceedsShare,  //!< A charge or return above the holder's share, or a load
+                  //!< order above the fleet's rate: void.
+  //! The holder was released, or the charge's entry is fenced under the
+  //! holder's share: void.
+  kHolderExited,
+  //! An earlier record took precedence: another claim, trial, configuration,
+  //! term or draw, the end of the trial, or the abandon or void of the same
+  //! attempt. Void.
+  kLostRace,
   kNotApplicable,  //!< A record for the other kind of stream, or malformed.
 };
 
--- a/src/state/key_state.h
+++ b/src/state/key_state.h
@@ -10,7 +10,9 @@
 //! State of one request key in the ledger.
 struct KeyState {
   enum class Phase : uint8_t {
-    kNone,     //!< Unknown, expired, or its claim was abandoned.
+    //! Unknown or expired, or its claim was abandoned, or the charge of a
+    //! repeatable request was voided.
+    kNone,
     kClaimed,  //!< May have run; the outcome is unknown.
     kDone,     //!< Ran, with a known outcome, and was not billed.
     kCharged,  //!< Ran and was billed.
--- a/src/state/ledger_fold.cpp
+++ b/src/state/ledger_fold.cpp
@@ -19,6 +19,7 @@
 
 namespace {
 
+//! Seed of the hash in the second half of a KeyId.
 constexpr uint64_t kSecondHashSeed = 1;
 
 }  // namespace
@@ -81,7 +82,7 @@
 template <class Archive>
 void LedgerFold::serialize(Archive& archive) {
   archive(clock_, budgets_, held_, keys_, top_up_ids_, abandoned_attempts_,
-          voided_attempts_, exited_, fenced_);
+          voided_attempts_, released_, fenced_);
 }
 
 template void LedgerFold::serialize(cereal::PortableBinaryOutputArchive&);
@@ -102,7 +103,7 @@
 }
 
 FoldVerdict LedgerFold::On(const Draw& record, const FoldContext&) {
-  if (exited_.contains(record.holder)) {
+  if (released_.contains(record.holder)) {
     return FoldVerdict::kHolderExited;
   }
   auto it = budgets_.find(record.organisation);
@@ -120,7 +121,7 @@
 FoldVerdict LedgerFold::On(const Return& record, const FoldContext& context) {
   // Other instances account for the tokens that a released holder still has,
   // so a late return by the holder itself must not remove them.
-  if (exited_.contains(record.holder) && context.writer == record.holder) {
+  if (released_.contains(record.holder) && context.writer == record.holder) {
     return FoldVerdict::kHolderExited;
   }
   auto it = budgets_.find(record.organisation);
@@ -165,8 +166,9 @@
   if (record.tokens > budget.Share(record.holder)) {
     return FoldVerdict::kExceedsShare;
   }
-  if (auto exited = exited_.find(record.holder); exited != exited_.end()) {
-    exited->second.erase(record.attempt);
+  if (auto released = released_.find(record.holder);
+      released != released_.end()) {
+    released->second.erase(record.attempt);
   }
   AddToShare(budget, record.holder, -record.tokens);
   budget.charged += record.tokens;
@@ -233,7 +235,7 @@
 }
 
 FoldVerdict LedgerFold::On(const Release& record, const FoldContext&) {
-  std::map<uint64_t, int64_t>& attempts = exited_[record.holder];
+  std::map<uint64_t, int64_t>& attempts = released_[record.holder];
   attempts.clear();
   for (const KeptShare& it : record.kept) {
     attempts[it.attempt] = it.tokens;
@@ -259,7 +261,7 @@
 
 bool LedgerFold::IsValid(const Charge& record,
                          const FoldContext& context) const {
-  if (auto it = exited_.find(record.holder); it != exited_.end()) {
+  if (auto it = released_.find(record.holder); it != released_.end()) {
     auto kept = it->second.find(record.attempt);
     return kept != it->second.end() && record.tokens <= kept->second;
   }
@@ -285,8 +287,8 @@
   budget.charged -= state.tokens;
   budget.undrawn += state.tokens;
   if (state.fallback_attempt != 0) {
-    // The holder of the second charge has taken the tokens back into its
-    // share, so the undrawn part pays.
+    // The tokens of the second charge were not deducted from its holder's
+    // share, so they are taken from the undrawn tokens.
     state.attempt = std::exchange(state.fallback_attempt, 0);
     state.tokens = std::min(state.fallback_tokens, budget.undrawn);
     budget.undrawn -= state.tokens;
--- a/src/state/ledger_fold.h
+++ b/src/state/ledger_fold.h
@@ -44,7 +44,9 @@
   //! wall-clock time of the calling process.
   bool KeyTooOld(const std::string& key, Millis wall) const;
 
-  bool HolderExited(uint64_t holder) const { return exited_.contains(holder); }
+  bool HolderExited(uint64_t holder) const {
+    return released_.contains(holder);
+  }
 
   //! Sum of the tokens in all shares of `holder`.
   int64_t TokensHeldBy(uint64_t holder) const;
@@ -106,7 +108,7 @@
   std::map<uint64_t, Millis> abandoned_attempts_;  //!< Fold time by attempt.
   std::map<uint64_t, Millis> voided_attempts_;     //!< Fold time by attempt.
   //! Released holders, each with the tokens kept in its shares, by attempt.
-  std::map<uint64_t, std::map<uint64_t, int64_t>> exited_;
+  std::map<uint64_t, std::map<uint64_t, int64_t>> released_;
   std::set<std::pair<uint64_t, uint64_t>> fenced_;  //!< Holder, entry.
 };
 
--- a/src/state/organisation.h
+++ b/src/state/organisation.h
@@ -11,8 +11,9 @@
 //! One organisation of a configuration.
 struct Organisation {
   std::string name;
+  //! API keys that its callers send as "Authorization: Bearer KEY".
   std::vector<std::string> keys;
-  int priority = 0;                //!< 0 is the most urgent.
+  int priority = 0;                //!< 0 is the highest.
   std::optional<int64_t> prepaid;  //!< Tokens; nullopt if not limited.
 
   friend bool operator==(const Organisation&, const Organisation&) = default;
--- a/src/state/refusal.h
+++ b/src/state/refusal.h
@@ -12,6 +12,7 @@
 struct Refusal {
   std::string organisation;
   std::string key;
+  //! Incarnation of the instance that serves the caller.
   uint64_t entry = 0;
   std::string service;
   //! Numeric result code.
--- a/src/state/release.h
+++ b/src/state/release.h
@@ -16,7 +16,7 @@
 //! tokens that other instances still account for.
 struct Release {
   uint64_t holder = 0;
-  std::string evidence;
+  std::string evidence;         //!< Text for the audit; not parsed.
   std::vector<KeptShare> kept;  //!< Tokens that stay in the holder's shares.
 
   friend bool operator==(const Release&, const Release&) = default;
--- a/src/state/request_key.cpp
+++ b/src/state/request_key.cpp
@@ -12,6 +12,8 @@
 
 constexpr size_t kUuidChars = 36;
 constexpr size_t kVersionIndex = 14;
+//! Required size of the random input. MakeRequestKey() uses the first 9 bytes,
+//! which are 18 hexadecimal digits.
 constexpr size_t kRandomBytes = 16;
 
 bool IsUuid(const std::string& key) {
@@ -42,6 +44,7 @@
 
 std::string MakeRequestKey(Millis wall, const std::string& random) {
   CHECK_GE(random.size(), kRandomBytes);
+  // A UUIDv7 holds the low 48 bits of the time: the last 12 of 16 digits.
   const std::string time_hex =
       Hex(static_cast<uint64_t>(wall.count())).substr(4);
   const std::string random_hex = Hex(random.substr(0, kRandomBytes));
--- a/src/state/route.h
+++ b/src/state/route.h
@@ -24,14 +24,16 @@
   std::string host;
   std::string path_prefix;  //!< Starts and ends with a slash.
   CallKind kind = CallKind::kUnsafe;
-  bool resumable = false;    //!< Another endpoint may continue a stream.
-  bool is_public = false;    //!< Requires no API key.
-  int priority = 0;          //!< 0 is the highest.
-  int max_attempts = 1;      //!< Largest number of endpoints tried per request.
-  Millis timeout;            //!< Longest time to the complete answer.
-  Millis latency_objective;  //!< Time to the answer or a stream's first event.
-  Millis gap_objective;      //!< Longest gap between two events of a stream.
-  Millis event_timeout;      //!< Longest gap before callers disconnect.
+  bool resumable = false;  //!< Another endpoint may continue a stream.
+  bool is_public = false;  //!< Requires no API key.
+  int priority = 0;        //!< 0 is the highest.
+  int max_attempts = 1;    //!< Largest number of endpoints tried per request.
+  Millis timeout;          //!< Longest time to the complete answer.
+  //! Target time to the complete answer or to a stream's first event.
+  Millis latency_objective;
+  Millis gap_objective;  //!< Target for the gap between two events of a stream.
+  //! Longest gap between events before callers disconnect.
+  Millis event_timeout;
   std::vector<WeightedService> weighted_services;
 
   //! Whether a request may safely run more than once.
--- a/src/state/routed_service.h
+++ b/src/state/routed_service.h
@@ -17,7 +17,9 @@
   //! Tokens per event of a stream; 0 if the service does not specify it.
   int tokens_per_event = 0;
   int64_t kv_token_bytes = 0;  //!< KV cache bytes per token.
-  double link_mbps = 0;        //!< Between engines, for KV cache transfers.
+  //! Bandwidth between two engines for KV cache transfers, in Mbit/s; 0 for no
+  //! transfers.
+  double link_mbps = 0;
 
   friend bool operator==(const RoutedService&, const RoutedService&) = default;
 };
--- a/src/state/run_claim.h
+++ b/src/state/run_claim.h
@@ -13,6 +13,7 @@
   std::string organisation;
   std::string key;
   uint64_t attempt = 0;
+  //! Incarnation of the instance that serves the caller.
   uint64_t entry = 0;
   std::string service;
 
--- a/src/state/share_request.h
+++ b/src/state/share_request.h
@@ -8,8 +8,8 @@
 
 namespace tamaracktrail {
 
-//! Asks other keepers for tokens of a budget, of which the holder has too few
-//! for its waiting requests.
+//! Asks the other holders of a budget's shares to return tokens, since this
+//! holder has too few for its queued requests.
 struct ShareRequest {
   std::string organisation;
   uint64_t holder = 0;
--- a/src/state/stream_view.h
+++ b/src/state/stream_view.h
@@ -53,8 +53,8 @@
     return pending_.empty() ? next_offset_ : pending_.back().offset + 1;
   }
 
-  //! False while the view searches for a snapshot, so that the fold is behind
-  //! the entries that were fed.
+  //! True unless entries are missing and the view searches for a snapshot; the
+  //! fold is then behind the entries that were fed.
   bool live() const { return pending_.empty(); }
 
   //! Number of batches dropped because of a wrong tag or a broken hash chain,
--- a/src/state/term.h
+++ b/src/state/term.h
@@ -8,11 +8,12 @@
 
 namespace tamaracktrail {
 
-//! Makes an incarnation the placer of its data centre. The offset of the record
-//! is the fencing number of the term.
+//! Makes an incarnation the placer of its data centre: the only instance whose
+//! placement orders are accepted. The offset of the record is the fencing
+//! number of the term.
 struct Term {
   std::string data_centre;
-  uint64_t holder = 0;
+  uint64_t holder = 0;  //!< Incarnation of the placer.
 
   friend bool operator==(const Term&, const Term&) = default;
 
--- a/src/state/trial_end.h
+++ b/src/state/trial_end.h
@@ -11,6 +11,7 @@
 //! The attempt that a trial allowed has ended without a crash, so that another
 //! trial may be claimed. If it succeeded, the content's crashes are forgotten.
 struct TrialEnd {
+  //! Hash of the request's content.
   std::string content;
   uint64_t attempt = 0;
   //! Whether the complete answer was delivered.
--- a/src/state/writer_chains.h
+++ b/src/state/writer_chains.h
@@ -19,8 +19,8 @@
 //! appends. Not thread-safe.
 class WriterChains {
  public:
-  //! A writer that appends nothing for longer than this loses its chain:
-  //! further batches of it are kBroken.
+  //! If a writer's last batch is older than this, its further batches are
+  //! kBroken and EvictIdle() forgets the writer.
   static constexpr Millis kWriterWindow = kHour * 24;
 
   enum class Verdict { kNext, kRepeat, kBroken };
--- a/tests/cli/audit_test.cpp
+++ b/tests/cli/audit_test.cpp
@@ -14,7 +14,7 @@
 namespace tamaracktrail {
 namespace {
 
-constexpr int64_t kWindowMs = 24 * 3600 * 1000;
+constexpr int64_t kKeyWindowMs = 24 * 3600 * 1000;
 
 //! An export with one budget and three charges, all by one writer.
 class AuditTest : public testing::Test {
@@ -60,7 +60,7 @@
       }
     }
     out.close();
-    return *VerifyExport(folder_, codec_, kWindowMs);
+    return *VerifyExport(folder_, codec_, kKeyWindowMs);
   }
 
   std::string folder_;
@@ -107,7 +107,7 @@
 
 TEST_F(AuditTest, ExplainListsRecordsOfRequestKey) {
   Verify();
-  const auto lines = ExplainKey(folder_, codec_, kWindowMs, "key2");
+  const auto lines = ExplainKey(folder_, codec_, kKeyWindowMs, "key2");
   ASSERT_TRUE(lines.ok());
   ASSERT_EQ(lines->size(), 1u);
   EXPECT_NE(lines->front().find("endpoint=engine"), std::string::npos);
--- a/tests/cli/settings_test.cpp
+++ b/tests/cli/settings_test.cpp
@@ -83,7 +83,7 @@
   }
 }
 
-// Declarations.
+// Tests of Catalog and of the publication of declarations.
 
 constexpr char kDeclarations[] =
     "[organisation org]\nkey_hashes = s:"
@@ -134,7 +134,7 @@
   }
 }
 
-TEST(CatalogTest, TokenIsAcceptedOnlyWithItsOrganisationsSecret) {
+TEST(CatalogTest, BearerKeyIsAcceptedOnlyWithItsOrganisationsSecret) {
   OrganisationSpec spec;
   spec.name = "org";
   spec.key_hashes = {HashKey("salt", "secret")};
--- a/tests/protocol/frame_codec_test.cpp
+++ b/tests/protocol/frame_codec_test.cpp
@@ -35,7 +35,7 @@
   const FaultCase kCases[] = {
       {"truncated", [](auto& it) { it.pop_back(); },
        absl::StatusCode::kOutOfRange},
-      {"header only", [](auto& it) { it.resize(10); },
+      {"header without its tag", [](auto& it) { it.resize(10); },
        absl::StatusCode::kOutOfRange},
       {"bytes after the end", [](auto& it) { it += "x"; },
        absl::StatusCode::kOutOfRange},
--- a/tests/state/ledger_fold_test.cpp
+++ b/tests/state/ledger_fold_test.cpp
@@ -81,10 +81,9 @@
   EXPECT_EQ(budget().charged, 0);
 }
 
-// Guards against a delivered answer that is not billed (found with seed 81 of
-// the simulated fleet): two attempts of a key were charged, the answer of the
-// first was withheld, and its charge was voided after the second answer had
-// been delivered.
+// Guards against a delivered answer that is not billed: two attempts of a key
+// are charged, the answer of the first is withheld, and its charge is voided
+// after the second answer has been delivered.
 TEST_F(LedgerFoldTest, VoidOfFirstChargeMakesSecondChargeCount) {
   Apply(TopUp{"org", "a", 100, ""});
   Apply(Draw{"org", kHolder, 50});
@@ -140,20 +139,22 @@
   EXPECT_EQ(Apply(Return{"org", kHolder, 10}, kOther), FoldVerdict::kAccepted);
 }
 
-TEST_F(LedgerFoldTest, TimedKeysExpireAndOpaqueClaimsDoNot) {
-  const std::string timed = "018bcfe5-6800-7000-8000-000000000000";
+TEST_F(LedgerFoldTest, UuidV7KeysExpireAndClaimsOfOtherKeysDoNot) {
+  const std::string uuid_v7 = "018bcfe5-6800-7000-8000-000000000000";
   Apply(TopUp{"org", "a", 100, ""});
   Apply(RunClaim{"org", "opaque", 1, 0, ""});
-  Apply(RunClaim{"org", timed, 2, 0, ""});
+  Apply(RunClaim{"org", uuid_v7, 2, 0, ""});
+  // 70 minutes, which is more than the key window of an hour.
   for (int i = 0; i < 70; ++i) {
     wall_ = wall_ + kMinute;
     Apply(ShareRequest{"org", kHolder, 1});
   }
   fold_.Trim();
   EXPECT_EQ(Phase("opaque"), KeyState::Phase::kClaimed);
-  EXPECT_EQ(Phase(timed), KeyState::Phase::kNone);
-  EXPECT_TRUE(fold_.KeyTooOld(timed, Millis(0x018bcfe56800) + kHour));
-  EXPECT_FALSE(fold_.KeyTooOld(timed, Millis(0x018bcfe56800) + kMinute));
+  EXPECT_EQ(Phase(uuid_v7), KeyState::Phase::kNone);
+  // The first 12 digits of the key are its time.
+  EXPECT_TRUE(fold_.KeyTooOld(uuid_v7, Millis(0x018bcfe56800) + kHour));
+  EXPECT_FALSE(fold_.KeyTooOld(uuid_v7, Millis(0x018bcfe56800) + kMinute));
 }
 
 }  // namespace
