--- a/src/state/caller_limits.h
+++ b/src/state/caller_limits.h
@@ -14,8 +14,8 @@
   //! Longest wait for the end of a request's headers after its first byte; then
   //! HTTP 408.
   Millis header_timeout{3000};
-  //! Longest wait for a request, or for the rest of one whose headers are
-  //! complete, before the connection is closed.
+  //! Longest wait for a request's first byte, and from there to the end of its
+  //! body, before the connection is closed.
   Millis idle_timeout{15000};
 
   friend bool operator==(const CallerLimits&, const CallerLimits&) = default;
