--- a/src/state/caller_limits.h
+++ b/src/state/caller_limits.h
@@ -12,10 +12,11 @@
 struct CallerLimits {
   uint32_t max_header_bytes = 16 * 1024;
   uint64_t max_body_bytes = 4 * 1024 * 1024;
-  //! Longest time from the first byte of a request to the end of its head.
+  //! Longest wait for the end of a request's headers after its first byte; then
+  //! HTTP 408.
   Millis header_timeout{3000};
-  //! Longest time from the first byte of a request to its last, and longest
-  //! wait for the next request.
+  //! Longest wait for a request's first byte, and from there to the end of its
+  //! body, before the connection is closed.
   Millis idle_timeout{15000};
 
   friend bool operator==(const CallerLimits&, const CallerLimits&) = default;
