--- a/src/cli/setting_def.cpp
+++ b/src/cli/setting_def.cpp
@@ -52,12 +52,14 @@
     {"limits", "endpoint_idle_ms", Kind::kInteger, false, 30000, 100, kHourMs,
      "Time without a byte from an endpoint before its call is given up."},
     {"limits", "retry_ratio", Kind::kNumber, false, 0.1, 0, 1,
-     "Retries earned by each request."},
+     "Retries that each request adds to the retry budget."},
     {"budget", "hold", Kind::kNumber, false, 0.5, 0, 1,
-     "Part of an even split stocked ahead of demand. Low: tokens are rarely "
-     "where they are not wanted. High: a cut-off data centre serves longer."},
+     "Part of an even split held in advance of demand. Low: few tokens are "
+     "idle in the wrong data centre. High: a cut-off data centre serves "
+     "longer."},
     {"budget", "cover_ms", Kind::kInteger, false, 600000, 0, 30 * kDayMs,
-     "Time for which stock is to cover the recent demand."},
+     "Time for which the tokens held in advance should cover the recent "
+     "demand."},
     {"budget", "reserve_wait_ms", Kind::kInteger, false, 2000, 0, 60000,
      "Longest wait for tokens before a request is refused."},
     {"log", "append_interval_ms", Kind::kInteger, false, 100, 5, 60000,
